--- a/bench/cluster_bench.cpp
+++ b/bench/cluster_bench.cpp
@@ -1,5 +1,6 @@
-// `gorsemount-cluster-bench`: what membership and leases cost between 3 to 50 controllers: bytes a second as sealed on
-// the wire, processor time, and how long a kill takes to be known to all. Virtual clock; no faults but the kill.
+// `gorsemount-cluster-bench`: what membership and leases cost between 3 to 50 controllers: bytes a second as
+// sealed on the wire, processor time, and how long a kill takes to be known to all. Virtual clock; no faults
+// but the kill.
 #include <chrono>
 #include <cstdio>
 #include <deque>
@@ -38,7 +39,8 @@
     while (!underway.empty() && underway.front().first <= now) {
       const std::string frame = std::move(underway.front().second);
       underway.pop_front();
-      const std::size_t k = static_cast<std::size_t>(static_cast<unsigned char>(frame[3])) << 8U | static_cast<unsigned char>(frame[4]);
+      const std::size_t k = static_cast<std::size_t>(static_cast<unsigned char>(frame[3])) << 8U |
+                            static_cast<unsigned char>(frame[4]);
       if (!nodes[k]) continue;
       const auto opened = frames[k]->open(frame);
       if (const auto* m = std::get_if<Message>(&opened)) nodes[k]->receive(Instant::at_seconds(now), *m);
@@ -50,18 +52,22 @@
         if (now >= from && now < kill) bytes += underway.back().second.size();
       }
     }
-    if (now >= from && now < kill) cpu += std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
+    if (now >= from && now < kill)
+      cpu += std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
     if (nodes[1] && now >= kill) nodes[1].reset();
     if (!nodes[1] && known == 0) {
       bool all = true;
-      for (std::size_t k = 0; k < n; ++k) all = all && (!nodes[k] || nodes[k]->standing(id(1)) == Standing::gone);
+      for (std::size_t k = 0; k < n; ++k)
+        all = all && (!nodes[k] || nodes[k]->standing(id(1)) == Standing::gone);
       if (all) known = now - kill;
     }
   }
   const double over = kill - from;
-  std::printf("%3zu members: %9.0f bytes/s in all, %7.0f a member, %6.3f ms of processor a second and member, a kill known to all after %5.2f s\n",
-              n, static_cast<double>(bytes) / over, static_cast<double>(bytes) / over / static_cast<double>(n), 1000 * cpu / over / static_cast<double>(n),
-              known);
+  std::printf(
+      "%3zu members: %9.0f bytes/s in all, %7.0f a member, %6.3f ms of processor a second and member, a kill "
+      "known to all after %5.2f s\n",
+      n, static_cast<double>(bytes) / over, static_cast<double>(bytes) / over / static_cast<double>(n),
+      1000 * cpu / over / static_cast<double>(n), known);
 }
 
 }  // namespace
--- a/bench/program_bench.cpp
+++ b/bench/program_bench.cpp
@@ -1,6 +1,6 @@
-// Measures the running program's parts, as ratios within one run: answers a second beside a bare UDP echo with
-// the same batching, latency at half of that load, the pause that a change of tables puts on answers, and the
-// core's step for growing fleets. Bounded: about 25 s. Loopback only.
+// Measures the running program's parts, as ratios within one run: answers a second beside a bare UDP echo
+// with the same batching, latency at half of that load, the pause that a change of tables puts on answers,
+// and the core's step for growing fleets. Bounded: about 25 s. Loopback only.
 #include <netinet/in.h>
 #include <pthread.h>
 #include <sys/resource.h>
@@ -10,10 +10,10 @@
 #include <atomic>
 #include <chrono>
 #include <cstdio>
+#include <cstring>
 #include <filesystem>
 #include <functional>
 #include <optional>
-#include <cstring>
 #include <thread>
 
 #include "coordinator/coordinator.hpp"
@@ -37,7 +37,8 @@
                   {"stock-lookup", Effect::idempotent, Span::seconds(1.2), Span::seconds(3), 1},
                   {"place-order", Effect::side_effecting, Span::seconds(1.2), Span::seconds(3), 3}};
   for (std::uint16_t z = 0; z < 3; ++z)
-    s.groups.push_back({s.zones[z], ZoneId{z}, {{*Address::parse("127." + std::to_string(1 + z) + ".0.0"), 16}}, 700});
+    s.groups.push_back(
+        {s.zones[z], ZoneId{z}, {{*Address::parse("127." + std::to_string(1 + z) + ".0.0"), 16}}, 700});
   s.groups.push_back({"elsewhere", ZoneId{0}, {}, 1});
   s.report_every = Span::seconds(0.5), s.late_after = Span::seconds(0.5);
   s.backlog = 20000, s.lines_per_second = 20000, s.per_message = 4, s.messages_window = Span::seconds(10);
@@ -49,7 +50,8 @@
 }
 
 dns::FrontSettings front_settings(const Settings& s) {
-  dns::FrontSettings f{"refill.test", "h.refill.test", {"ns.refill.test"}, *Address::parse("127.0.0.1"), 1, 1232, {}, 16, 2};
+  dns::FrontSettings f{
+      "refill.test", "h.refill.test", {"ns.refill.test"}, *Address::parse("127.0.0.1"), 1, 1232, {}, 16, 2};
   for (const auto& op : s.operations) f.operations.push_back(op.name);
   return f;
 }
@@ -61,7 +63,8 @@
     for (std::size_t k = 0; k < n; ++k) {
       coordinator::RosterEntry e;
       e.name = "w" + std::to_string(k), e.zone = ZoneId{static_cast<std::uint16_t>(k % 3)};
-      e.at.address = *Address::parse("127.1." + std::to_string(k / 200) + "." + std::to_string(1 + k % 200)), e.at.port = 9000;
+      e.at.address = *Address::parse("127.1." + std::to_string(k / 200) + "." + std::to_string(1 + k % 200)),
+      e.at.port = 9000;
       roster.push_back(e);
     }
     step({coordinator::RosterHeard{roster}});
@@ -85,9 +88,15 @@
         coordinator::LoadSample sample{"b", (next - Instant{}).seconds() + 1e6, false, 0.4, 0.0, {}};
         for (std::uint8_t op = 0; op < 3; ++op)
           for (int z = 1; z < 4; ++z)
-            sample.counts.push_back({OperationId{op}, {*Address::parse("127." + std::to_string(z) + ".0.0"), 24}, counts[k],
-                                     counts[k], 0, 0, 0.2 * static_cast<double>(counts[k])});
-        inputs.emplace_back(coordinator::LoadHeard{BackendId{static_cast<std::uint32_t>(k + 1)}, next, std::move(sample)});
+            sample.counts.push_back({OperationId{op},
+                                     {*Address::parse("127." + std::to_string(z) + ".0.0"), 24},
+                                     counts[k],
+                                     counts[k],
+                                     0,
+                                     0,
+                                     0.2 * static_cast<double>(counts[k])});
+        inputs.emplace_back(
+            coordinator::LoadHeard{BackendId{static_cast<std::uint32_t>(k + 1)}, next, std::move(sample)});
       }
       if (turn % 250 == 0)
         for (std::uint16_t g = 0; g < 4; ++g) inputs.emplace_back(coordinator::LookedUp{ProxyId{g}});
@@ -131,7 +140,8 @@
 };
 
 // One generator: keeps `window` questions out, or sends `rate` a second; counts what comes back.
-Load generate(const Endpoint& to, const std::string& text, std::size_t window, double rate, double seconds, int salt) {
+Load generate(const Endpoint& to, const std::string& text, std::size_t window, double rate, double seconds,
+              int salt) {
   Load load;
   const net::Fd fd = net::udp_socket({*Address::parse("127.1.0." + std::to_string(salt)), 0});
   sockaddr_in a{};
@@ -168,11 +178,14 @@
     for (int k = 0; k < n; ++k) {
       ++got;
       const auto& b = in[static_cast<std::size_t>(k)];
-      const auto which = static_cast<std::uint16_t>(static_cast<unsigned char>(b[0]) << 8U | static_cast<unsigned char>(b[1]));
+      const auto which = static_cast<std::uint16_t>(static_cast<unsigned char>(b[0]) << 8U |
+                                                    static_cast<unsigned char>(b[1]));
       if (rate > 0) load.latencies.push_back((back - sent_at[which]).seconds());
     }
     // What was lost is not waited for.
-    if (rate <= 0 && n <= 0 && sent - got >= window && (back - sent_at[static_cast<std::uint16_t>(id - 1)]).seconds() > 0.05) got = sent;
+    if (rate <= 0 && n <= 0 && sent - got >= window &&
+        (back - sent_at[static_cast<std::uint16_t>(id - 1)]).seconds() > 0.05)
+      got = sent;
   }
   load.per_second = static_cast<double>(got) / seconds;
   return load;
@@ -183,7 +196,8 @@
   std::vector<Load> parts(2);
   std::vector<std::thread> threads;
   for (int k = 0; k < 2; ++k)
-    threads.emplace_back([&, k] { parts[static_cast<std::size_t>(k)] = generate(to, text, 256, rate / 2, seconds, 10 + k); });
+    threads.emplace_back(
+        [&, k] { parts[static_cast<std::size_t>(k)] = generate(to, text, 256, rate / 2, seconds, 10 + k); });
   for (int k = 0; k < 2; ++k) pin(threads[static_cast<std::size_t>(k)], k + 1);
   for (auto& t : threads) t.join();
   for (const auto& p : parts) {
@@ -195,7 +209,10 @@
 }
 
 double at(const std::vector<double>& sorted, double part) {
-  return sorted.empty() ? 0 : sorted[std::min(sorted.size() - 1, static_cast<std::size_t>(part * static_cast<double>(sorted.size())))];
+  return sorted.empty()
+             ? 0
+             : sorted[std::min(sorted.size() - 1,
+                               static_cast<std::size_t>(part * static_cast<double>(sorted.size())))];
 }
 
 // A server on its own core; `each` runs there every 50 ms.
@@ -227,7 +244,9 @@
   std::thread thread_;
 };
 
-double millis(std::chrono::steady_clock::duration d) { return std::chrono::duration<double, std::milli>(d).count(); }
+double millis(std::chrono::steady_clock::duration d) {
+  return std::chrono::duration<double, std::milli>(d).count();
+}
 
 void answers() {
   Rig rig{16};
@@ -235,15 +254,19 @@
   dns::Front front{front_settings(rig.s), rig.core.group_map()};
   front.publish(rig.published, rig.core.group_map());
   const Endpoint where = *Endpoint::parse("127.0.0.1:17353");
-  const std::string srv = question("_place-order._tcp.refill.test", 33), address = question("place-order.refill.test", 1);
-  const auto serve = [&](std::span<const std::uint8_t> in, const Endpoint& from, std::span<std::uint8_t> out) {
+  const std::string srv = question("_place-order._tcp.refill.test", 33),
+                    address = question("place-order.refill.test", 1);
+  const auto serve = [&](std::span<const std::uint8_t> in, const Endpoint& from,
+                         std::span<std::uint8_t> out) {
     return front.answer(in, from.address, true, out).size;
   };
   const auto echo = [](std::span<const std::uint8_t> in, const Endpoint&, std::span<std::uint8_t> out) {
     std::copy(in.begin(), in.end(), out.begin());
     return in.size();
   };
-  std::printf("Answers a second on one core, median of 3 rounds taken in turn, beside a bare echo with the same batching\n");
+  std::printf(
+      "Answers a second on one core, median of 3 rounds taken in turn, beside a bare echo with the same "
+      "batching\n");
   std::vector<double> echoes, srvs, addresses;
   for (int round = 0; round < 3; ++round) {
     {
@@ -255,18 +278,19 @@
     addresses.push_back(load_of(where, address, 0, 1).per_second);
   }
   for (auto* v : {&echoes, &srvs, &addresses}) std::sort(v->begin(), v->end());
-  std::printf("  echo %.0f   SRV of 16 lines %.0f (%.2f of echo)   A %.0f (%.2f of echo)\n", echoes[1], srvs[1],
-              srvs[1] / echoes[1], addresses[1], addresses[1] / echoes[1]);
+  std::printf("  echo %.0f   SRV of 16 lines %.0f (%.2f of echo)   A %.0f (%.2f of echo)\n", echoes[1],
+              srvs[1], srvs[1] / echoes[1], addresses[1], addresses[1] / echoes[1]);
   {
     const Served s{where, serve};
     const auto half = load_of(where, srv, srvs[1] / 2, 2);
-    std::printf("SRV at half of that load: p50 %.3f ms, p99 %.3f ms, p99.9 %.3f ms\n", 1e3 * at(half.latencies, 0.5),
-                1e3 * at(half.latencies, 0.99), 1e3 * at(half.latencies, 0.999));
+    std::printf("SRV at half of that load: p50 %.3f ms, p99 %.3f ms, p99.9 %.3f ms\n",
+                1e3 * at(half.latencies, 0.5), 1e3 * at(half.latencies, 0.99),
+                1e3 * at(half.latencies, 0.999));
   }
 }
 
-// A fleet of 600 whose every weight the roster changes every 50 ms, while answers go on: the module orders every
-// line anew. The pause is the core's step with the publication behind it.
+// A fleet of 600 whose every weight the roster changes every 50 ms, while answers go on: the module orders
+// every line anew. The pause is the core's step with the publication behind it.
 void changes() {
   Rig rig{600};
   rig.play(3);
@@ -301,9 +325,12 @@
   }
   std::sort(pauses.begin(), pauses.end()), std::sort(steps.begin(), steps.end());
   orders = (rig.core.counters().orders - orders) / pauses.size();
-  std::printf("A change of 600 lines (%llu orders) every 50 ms: pause p50 %.3f ms (the step %.3f), worst %.3f ms of %zu; answers "
-              "meanwhile p50 %.3f ms, p99.9 %.3f ms\n", static_cast<unsigned long long>(orders), at(pauses, 0.5), at(steps, 0.5),
-              pauses.back(), pauses.size(), 1e3 * at(load.latencies, 0.5), 1e3 * at(load.latencies, 0.999));
+  std::printf(
+      "A change of 600 lines (%llu orders) every 50 ms: pause p50 %.3f ms (the step %.3f), worst %.3f ms of "
+      "%zu; answers "
+      "meanwhile p50 %.3f ms, p99.9 %.3f ms\n",
+      static_cast<unsigned long long>(orders), at(pauses, 0.5), at(steps, 0.5), pauses.back(), pauses.size(),
+      1e3 * at(load.latencies, 0.5), 1e3 * at(load.latencies, 0.999));
 }
 
 // Answers beside the steps of a fleet of 300, with each step handed to a recorder and without.
@@ -327,22 +354,28 @@
       background::Background background{net::monotonic_now};
       std::optional<record::Recorder> recorder;
       if (with) {
-        recorder.emplace(background, record::RecorderSettings{file, 2ULL << 30U, 4096}, record::Header{}, Instant{}, [](const std::string& why) { std::printf("  recording stopped: %s\n", why.c_str()); });
-        rig.stepped = [&](const std::vector<Input>& inputs, const coordinator::Effects& effects) { recorder->step(rig.now, inputs, effects), ++steps; };
+        recorder.emplace(
+            background, record::RecorderSettings{file, 2ULL << 30U, 4096}, record::Header{}, Instant{},
+            [](const std::string& why) { std::printf("  recording stopped: %s\n", why.c_str()); });
+        rig.stepped = [&](const std::vector<Input>& inputs, const coordinator::Effects& effects) {
+          recorder->step(rig.now, inputs, effects), ++steps;
+        };
       }
       rig.longest = {}, rig.turn = 0;
-      const Served s{where,
-                     [&](std::span<const std::uint8_t> in, const Endpoint& from, std::span<std::uint8_t> out) {
-                       return front.answer(in, from.address, true, out).size;
-                     },
-                     [&, last = net::monotonic_now()]() mutable {
-                       // As many steps with as without: what the clock says, however late the loop is.
-                       const Instant now = net::monotonic_now();
-                       rig.play((now - std::exchange(last, now)).seconds());
-                       front.publish(rig.published, rig.core.group_map());
-                     }};
+      const Served s{
+          where,
+          [&](std::span<const std::uint8_t> in, const Endpoint& from, std::span<std::uint8_t> out) {
+            return front.answer(in, from.address, true, out).size;
+          },
+          [&, last = net::monotonic_now()]() mutable {
+            // As many steps with as without: what the clock says, however late the loop is.
+            const Instant now = net::monotonic_now();
+            rig.play((now - std::exchange(last, now)).seconds());
+            front.publish(rig.published, rig.core.group_map());
+          }};
       per_second[with ? 1 : 0].push_back(load_of(where, srv, 0, 2).per_second);
-      longest[with ? 1 : 0] = std::max(longest[with ? 1 : 0], millis(rig.longest)), turns[with ? 1 : 0] += rig.turn;
+      longest[with ? 1 : 0] = std::max(longest[with ? 1 : 0], millis(rig.longest)),
+                         turns[with ? 1 : 0] += rig.turn;
       if (recorder)
         for (const auto& [what, n] : recorder->left_out()) left_out += n;
     }
@@ -350,10 +383,14 @@
   }
   std::filesystem::remove_all(folder);
   for (auto& v : per_second) std::sort(v.begin(), v.end());
-  std::printf("Recording the steps of 300 workers: answers a second %.0f, %.3f of without (%.0f), median of 5 rounds taken in turn; longest step %.2f ms "
-              "(%.2f); %zu turns of the loop (%zu); %llu steps, %.0f bytes each, %llu left out\n", per_second[1][2], per_second[1][2] / per_second[0][2], per_second[0][2], longest[1], longest[0],
-              turns[1], turns[0], static_cast<unsigned long long>(steps), static_cast<double>(bytes) / static_cast<double>(std::max<std::uint64_t>(1, steps)),
-              static_cast<unsigned long long>(left_out));
+  std::printf(
+      "Recording the steps of 300 workers: answers a second %.0f, %.3f of without (%.0f), median of 5 rounds "
+      "taken in turn; longest step %.2f ms "
+      "(%.2f); %zu turns of the loop (%zu); %llu steps, %.0f bytes each, %llu left out\n",
+      per_second[1][2], per_second[1][2] / per_second[0][2], per_second[0][2], longest[1], longest[0],
+      turns[1], turns[0], static_cast<unsigned long long>(steps),
+      static_cast<double>(bytes) / static_cast<double>(std::max<std::uint64_t>(1, steps)),
+      static_cast<unsigned long long>(left_out));
 }
 
 void steps() {
@@ -366,8 +403,10 @@
     rig.play(30);
     const double part = millis(rig.spent) / 30000;
     if (n == 100) base = part;
-    std::printf("  %4zu workers: %.2f%% of a core, %.2f times a hundredth of it for each worker at 100; longest step %.2f ms\n", n,
-                100 * part, part / base / (static_cast<double>(n) / 100), millis(rig.longest));
+    std::printf(
+        "  %4zu workers: %.2f%% of a core, %.2f times a hundredth of it for each worker at 100; longest step "
+        "%.2f ms\n",
+        n, 100 * part, part / base / (static_cast<double>(n) / 100), millis(rig.longest));
   }
 }
 
@@ -391,8 +430,14 @@
         listen.port = 18000;
         fronts.push_back(std::make_unique<standins::Forwarder>(
             loop, recorder,
-            standins::ForwarderSettings{"f" + std::to_string(k), "a", listen, at[k],
-                                        {{"refill-check", "idempotent", 1, {}, {}, Span::seconds(2), 1}}, {}, false}, k));
+            standins::ForwarderSettings{"f" + std::to_string(k),
+                                        "a",
+                                        listen,
+                                        at[k],
+                                        {{"refill-check", "idempotent", 1, {}, {}, Span::seconds(2), 1}},
+                                        {},
+                                        false},
+            k));
       }
       std::function<void()> watch = [&] {
         if (stop_) return loop.stop();
@@ -429,7 +474,8 @@
     t->known.push_back(name);
     const double weight = k == 0 ? 1 : 0.1 + 0.8 * static_cast<double>((k * 7 + version * 13) % 97) / 97;
     t->parts[0].lines.push_back({BackendId{static_cast<std::uint32_t>(k)}, name,
-                                 *Endpoint::parse("127.6.0." + std::to_string(k % 250 + 1) + ":9000"), weight, false});
+                                 *Endpoint::parse("127.6.0." + std::to_string(k % 250 + 1) + ":9000"), weight,
+                                 false});
   }
   return t;
 }
@@ -439,18 +485,21 @@
   Lead(net::Loop& on, const std::vector<Endpoint>& at) : loop{on} {
     runtime_api::DriverSettings s;
     for (std::size_t k = 0; k < at.size(); ++k)
-      s.targets.push_back({ProxyId{static_cast<std::uint16_t>(30000 + k)}, "f" + std::to_string(k), at[k], ""});
+      s.targets.push_back(
+          {ProxyId{static_cast<std::uint16_t>(30000 + k)}, "f" + std::to_string(k), at[k], ""});
     s.operations = {"refill-check"};
     s.report_every = Span::seconds(1), s.read_back_every = Span::seconds(0.5);
     s.answer_within = Span::seconds(1), s.redial_after = Span::seconds(0.2);
     driver = std::make_unique<runtime_api::Driver>(
         loop, s,
-        runtime_api::DriverHooks{[this](Input i) { joined += std::holds_alternative<coordinator::ForwarderJoined>(i) ? 1 : 0; },
-                                 [](const std::string&) { return std::nullopt; },
-                                 [](bool, const std::string&, const std::vector<std::pair<std::string, std::string>>&) {}, {},
-                                 [this](ProxyId, std::uint64_t version, Span took, std::size_t changes) {
-                                   if (version == want) ++in_force, times.push_back(took.seconds()), sent += changes;
-                                 }});
+        runtime_api::DriverHooks{
+            [this](Input i) { joined += std::holds_alternative<coordinator::ForwarderJoined>(i) ? 1 : 0; },
+            [](const std::string&) { return std::nullopt; },
+            [](bool, const std::string&, const std::vector<std::pair<std::string, std::string>>&) {},
+            {},
+            [this](ProxyId, std::uint64_t version, Span took, std::size_t changes) {
+              if (version == want) ++in_force, times.push_back(took.seconds()), sent += changes;
+            }});
   }
   void deliver(std::size_t n, std::size_t lines) {
     const auto t = wanted(++want, lines);
@@ -493,11 +542,12 @@
   std::thread sink{[&] {
     net::Loop loop;
     std::vector<std::shared_ptr<net::Connection>> peers;
-    net::Listener listener{loop, at, [&](net::Fd fd, const Endpoint&) {
-                             peers.push_back(net::Connection::make(loop, std::move(fd), {1U << 20U, 1U << 20U, Span::seconds(60)},
-                                                                   [&](std::string_view in) { return got += in.size(), in.size(); },
-                                                                   [](const char*) {}));
-                           }};
+    net::Listener listener{
+        loop, at, [&](net::Fd fd, const Endpoint&) {
+          peers.push_back(net::Connection::make(
+              loop, std::move(fd), {1U << 20U, 1U << 20U, Span::seconds(60)},
+              [&](std::string_view in) { return got += in.size(), in.size(); }, [](const char*) {}));
+        }};
     std::function<void()> watch = [&] {
       if (stop) return loop.stop();
       loop.after(Span::seconds(0.01), watch);
@@ -513,8 +563,9 @@
   std::vector<std::shared_ptr<net::Connection>> out;
   for (std::size_t k = 0; k < n; ++k)
     attempts.push_back(net::connect(loop, at, {}, [&](net::Fd fd, int) {
-      out.push_back(net::Connection::make(loop, std::move(fd), {1U << 20U, 64U << 20U, Span::seconds(60)},
-                                          [](std::string_view in) { return in.size(); }, [](const char*) {}));
+      out.push_back(net::Connection::make(
+          loop, std::move(fd), {1U << 20U, 64U << 20U, Span::seconds(60)},
+          [](std::string_view in) { return in.size(); }, [](const char*) {}));
     }));
   loop.after(Span::seconds(0.3), [&] { loop.stop(); });
   loop.run();
@@ -570,20 +621,30 @@
       times.push_back((net::monotonic_now() - began).seconds());
       own.push_back(thread_seconds() - before);
       lines = lead.sent;
-      bare.push_back(bare_write(kFronts, lines * std::string{"set server refill-check/w50 weight 128\n"}.size()));
+      bare.push_back(
+          bare_write(kFronts, lines * std::string{"set server refill-check/w50 weight 128\n"}.size()));
     }
-    std::sort(times.begin(), times.end()), std::sort(bare.begin(), bare.end()), std::sort(own.begin(), own.end());
-    std::printf("The driver's own processor time allows %.0f lines a second, planned, written and confirmed\n",
-                static_cast<double>(lines) / own[2]);
-    std::printf("Lines to %zu forwarders, each confirmed: %.0f a second; a bare write of the same bytes, read: %.0f (%.2f of it)\n",
-                kFronts, static_cast<double>(lines) / times[2], static_cast<double>(lines) / bare[2], bare[2] / times[2]);
+    std::sort(times.begin(), times.end()), std::sort(bare.begin(), bare.end()),
+        std::sort(own.begin(), own.end());
+    std::printf(
+        "The driver's own processor time allows %.0f lines a second, planned, written and confirmed\n",
+        static_cast<double>(lines) / own[2]);
+    std::printf(
+        "Lines to %zu forwarders, each confirmed: %.0f a second; a bare write of the same bytes, read: %.0f "
+        "(%.2f of it)\n",
+        kFronts, static_cast<double>(lines) / times[2], static_cast<double>(lines) / bare[2],
+        bare[2] / times[2]);
   }
   double p50 = 0, p99 = 0, slow50 = 0, slow99 = 0;
   in_force(false, p50, p99);
   in_force(true, slow50, slow99);
-  std::printf("From order to in force, 10 lines to each of %zu: p50 %.2f ms, p99 %.2f ms; with one that does not answer p50 %.2f ms, "
-              "p99 %.2f ms (%.2f and %.2f of without)\n", kFronts, 1e3 * p50, 1e3 * p99, 1e3 * slow50, 1e3 * slow99, slow50 / p50, slow99 / p99);
-  // DNS answers on the loop that drives forwarders, with and without changes to all of them four times a second.
+  std::printf(
+      "From order to in force, 10 lines to each of %zu: p50 %.2f ms, p99 %.2f ms; with one that does not "
+      "answer p50 %.2f ms, "
+      "p99 %.2f ms (%.2f and %.2f of without)\n",
+      kFronts, 1e3 * p50, 1e3 * p99, 1e3 * slow50, 1e3 * slow99, slow50 / p50, slow99 / p99);
+  // DNS answers on the loop that drives forwarders, with and without changes to all of them four times a
+  // second.
   Rig rig{16};
   rig.play(3);
   dns::Front front{front_settings(rig.s), rig.core.group_map()};
@@ -597,9 +658,11 @@
     std::thread server{[&] {
       net::Loop loop;
       Lead lead{loop, fronts.at};
-      net::UdpServer udp{loop, where, [&](std::span<const std::uint8_t> in, const Endpoint& from, std::span<std::uint8_t> out) {
-                           return front.answer(in, from.address, true, out).size;
-                         }};
+      net::UdpServer udp{
+          loop, where,
+          [&](std::span<const std::uint8_t> in, const Endpoint& from, std::span<std::uint8_t> out) {
+            return front.answer(in, from.address, true, out).size;
+          }};
       std::function<void()> turn = [&] {
         if (stop) return loop.stop();
         if (changing) lead.deliver(kFronts, 10);
@@ -614,13 +677,20 @@
     stop = true;
     server.join();
   }
-  std::printf("DNS answers a second while 150 forwarders get 10 lines four times a second: %.0f, %.2f of without (%.0f)\n", with, with / without, without);
+  std::printf(
+      "DNS answers a second while 150 forwarders get 10 lines four times a second: %.0f, %.2f of without "
+      "(%.0f)\n",
+      with, with / without, without);
 }
 
 // With a word, only that part: answers, changes, steps, recording or forwarders.
 int main(int argc, char** argv) {
   const std::string only = argc > 1 ? argv[1] : "";
-  for (const auto& [name, part] : {std::pair<const char*, void (*)()>{"answers", answers}, {"changes", changes}, {"steps", steps}, {"recording", recording}, {"forwarders", lead_fronts}})
+  for (const auto& [name, part] : {std::pair<const char*, void (*)()>{"answers", answers},
+                                   {"changes", changes},
+                                   {"steps", steps},
+                                   {"recording", recording},
+                                   {"forwarders", lead_fronts}})
     if (only.empty() || only == name) part();
   return 0;
 }
--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -31,7 +31,8 @@
   const auto held = std::make_shared<Options>();
 
   auto& serving = held->serving;
-  auto* serve_command = app.add_subcommand("serve", "run a coordinator until SIGTERM; SIGHUP reloads the settings");
+  auto* serve_command =
+      app.add_subcommand("serve", "run a coordinator until SIGTERM; SIGHUP reloads the settings");
   serve_command->add_option("CONFIG", serving.config, "settings (HCL)")->required();
   serve_command->add_flag("--fixed-weights", serving.fixed, "listed weights, no decisions: to compare with");
   serve_command->callback([&] { code = serve(serving); });
@@ -40,16 +41,19 @@
   auto* check_command = app.add_subcommand("check", "check settings and the roster that they name");
   check_command->add_option("CONFIG", file, "settings (HCL)")->required();
   check_command->callback([&] { code = check(file); });
-  auto* explain_command = app.add_subcommand("explain-config", "print all values in force and where each came from");
+  auto* explain_command =
+      app.add_subcommand("explain-config", "print all values in force and where each came from");
   explain_command->add_option("CONFIG", file, "settings (HCL)")->required();
   explain_command->callback([&] { code = explain_config(file); });
 
   auto& asking = held->asking;
   auto* ctl_command = app.add_subcommand("ctl", "ask a running coordinator, or order it");
-  ctl_command->add_option("SOCKET", asking.socket, "its operators' socket: a path, or ADDRESS:PORT with --token-file");
+  ctl_command->add_option("SOCKET", asking.socket,
+                          "its operators' socket: a path, or ADDRESS:PORT with --token-file");
   ctl_command->add_option("COMMAND", asking.words, "the command; none: read commands from standard input");
   ctl_command->add_option("--token-file", asking.token_file, "the token for a TCP socket");
-  ctl_command->add_flag("--complete", asking.complete, "print the commands that begin with COMMAND, for a shell's completion");
+  ctl_command->add_flag("--complete", asking.complete,
+                        "print the commands that begin with COMMAND, for a shell's completion");
   ctl_command->callback([&] { code = ctl(asking); });
 
   auto& playing = held->playing;
@@ -58,9 +62,11 @@
   day_command->add_option("DAY", playing.day, "the day (HCL)")->required();
   day_command->add_option("--folder", playing.folder, "keep records, settings and logs here");
   day_command->add_flag("--no-baseline", no_baseline, "do not play it under fixed weights beside");
-  day_command->add_option("--set", playing.changes, "one value of the coordinators' settings in place of another: block.name=value");
+  day_command->add_option("--set", playing.changes,
+                          "one value of the coordinators' settings in place of another: block.name=value");
   day_command->add_flag("--quiet", playing.quiet, "no live line");
-  day_command->add_option("--octet", playing.octet, "second byte of the loopback addresses")->check(CLI::Range(10, 180));
+  day_command->add_option("--octet", playing.octet, "second byte of the loopback addresses")
+      ->check(CLI::Range(10, 180));
   day_command->callback([&] {
     playing.baseline = !no_baseline;
     code = day(playing);
@@ -68,16 +74,23 @@
 
   auto& simulating = held->simulating;
   auto& no_fence = held->no_fence;
-  auto* simulate_command = app.add_subcommand("simulate", "play a scripted day under the virtual clock, over many seeds");
+  auto* simulate_command =
+      app.add_subcommand("simulate", "play a scripted day under the virtual clock, over many seeds");
   simulate_command->add_option("DAY", simulating.day, "the day (HCL)")->required();
   simulate_command->add_option("--first,--seed", simulating.first, "the first seed");
   simulate_command->add_option("--seeds", simulating.seeds, "how many")->check(CLI::Range(1, 100000));
   simulate_command->add_option("--jobs", simulating.jobs, "so many at a time")->check(CLI::Range(1, 64));
-  simulate_command->add_option("--faults", simulating.faults, "random faults among the controllers, in each run")->check(CLI::Range(0, 1000));
+  simulate_command
+      ->add_option("--faults", simulating.faults, "random faults among the controllers, in each run")
+      ->check(CLI::Range(0, 1000));
   simulate_command->add_flag("--no-fence", no_fence, "forwarders take orders under any term");
-  simulate_command->add_option("--by", simulating.by, "what decides")->check(CLI::IsMember({"module", "equal", "zone-local", "oracle"}));
-  simulate_command->add_option("--set", simulating.changes, "one value of the coordinators' settings in place of another: block.name=value");
-  simulate_command->add_flag("--keeps", simulating.keeps, "a restarted coordinator recalls what it had written");
+  simulate_command->add_option("--by", simulating.by, "what decides")
+      ->check(CLI::IsMember({"module", "equal", "zone-local", "oracle"}));
+  simulate_command->add_option(
+      "--set", simulating.changes,
+      "one value of the coordinators' settings in place of another: block.name=value");
+  simulate_command->add_flag("--keeps", simulating.keeps,
+                             "a restarted coordinator recalls what it had written");
   simulate_command->callback([&] {
     simulating.fences = !no_fence;
     code = simulate(simulating);
@@ -88,7 +101,8 @@
   record_command->require_subcommand(1);
   const auto tool = [&](const char* name, const char* what) {
     auto* c = record_command->add_subcommand(name, what);
-    c->add_option("FILE", recording.file, std::string{name} == "import" ? "a day's folder" : "a recording")->required();
+    c->add_option("FILE", recording.file, std::string{name} == "import" ? "a day's folder" : "a recording")
+        ->required();
     c->callback([&, name] {
       recording.action = name;
       code = record(recording);
@@ -112,9 +126,11 @@
   import_command->add_option("--out", recording.out)->required();
 
   auto& replaying = held->replaying;
-  auto* replay_command = app.add_subcommand("replay", "a day or a recording under its own and under other settings");
+  auto* replay_command =
+      app.add_subcommand("replay", "a day or a recording under its own and under other settings");
   replay_command->add_option("DAY", replaying.day, "a day (.hcl) or a recording")->required();
-  replay_command->add_option("--config,--against", replaying.config, "settings files: the first, and those beside it");
+  replay_command->add_option("--config,--against", replaying.config,
+                             "settings files: the first, and those beside it");
   replay_command->add_option("--set", replaying.changes, "one value in place of another: block.name=value");
   replay_command->add_option("--sweep", replaying.sweep, "several: block.name=v1,v2,...");
   replay_command->add_option("--seeds", replaying.seeds)->check(CLI::Range(1, 100000));
@@ -122,18 +138,24 @@
   replay_command->add_option("--jobs", replaying.jobs)->check(CLI::Range(1, 64));
   replay_command->add_option("--page", replaying.page, "write a report in HTML");
   replay_command->add_option("--out", replaying.out, "write the first run as a recording");
-  replay_command->add_option("--window", replaying.window, "play a long day in windows of this length, such as 10m");
+  replay_command->add_option("--window", replaying.window,
+                             "play a long day in windows of this length, such as 10m");
   replay_command->add_option("--warm", replaying.warm, "played before each window and not counted");
-  replay_command->add_option("--part", replaying.part, "of the windows in which nothing happens")->check(CLI::Range(0.001, 1.0));
-  replay_command->add_option("--thin", replaying.thin, "so many times fewer of everything")->check(CLI::Range(1, 1000));
-  replay_command->add_flag("--same", replaying.same, "step the recorded inputs again: the orders must be the same");
+  replay_command->add_option("--part", replaying.part, "of the windows in which nothing happens")
+      ->check(CLI::Range(0.001, 1.0));
+  replay_command->add_option("--thin", replaying.thin, "so many times fewer of everything")
+      ->check(CLI::Range(1, 1000));
+  replay_command->add_flag("--same", replaying.same,
+                           "step the recorded inputs again: the orders must be the same");
   replay_command->callback([&] { code = replay(replaying); });
 
   auto& storing = held->storing;
   auto* store_command = app.add_subcommand("store", "what a coordinator keeps on disk");
   store_command->require_subcommand(1);
-  for (const auto& [name, what] : {std::pair{"show", "facts, and what each is worth now"}, {"verify", "every record of both generations"},
-                                   {"export", "facts as JSON lines"}, {"forget", "all of it; not while a coordinator runs"}}) {
+  for (const auto& [name, what] : {std::pair{"show", "facts, and what each is worth now"},
+                                   {"verify", "every record of both generations"},
+                                   {"export", "facts as JSON lines"},
+                                   {"forget", "all of it; not while a coordinator runs"}}) {
     auto* c = store_command->add_subcommand(name, what);
     c->add_option("FOLDER", storing.folder)->required();
     c->add_option("--of", storing.who, "the coordinator's name");
--- a/src/app/coordinator.cpp
+++ b/src/app/coordinator.cpp
@@ -28,10 +28,12 @@
   return value == nullptr ? std::nullopt : std::optional<std::string>{value};
 }
 
-// Where Unix time 0 lies on the monotonic clock: one offset for the whole life, so that a start keeps its place.
+// Where Unix time 0 lies on the monotonic clock: one offset for the whole life, so that a start keeps its
+// place.
 Instant unix_zero() {
   const auto since = std::chrono::system_clock::now().time_since_epoch();
-  return net::monotonic_now() - Span::micros(std::chrono::duration_cast<std::chrono::microseconds>(since).count());
+  return net::monotonic_now() -
+         Span::micros(std::chrono::duration_cast<std::chrono::microseconds>(since).count());
 }
 
 const Span kShutDownWithin = Span::seconds(0.3);  // the platform kills after 0.7 s
@@ -56,8 +58,12 @@
       : config_{std::move(config)},
         log_{"gorsemount", "info", ""},
         instance_{config_.settings, config_.labels, config_.seed, unix_zero()},
-        watch_{loop_, config_.discovery, {}, config_.seed,
-               {[this](discovery::Listing list) { take(list); }, [this](const std::string& why) { lost(why); }}},
+        watch_{
+            loop_,
+            config_.discovery,
+            {},
+            config_.seed,
+            {[this](discovery::Listing list) { take(list); }, [this](const std::string& why) { lost(why); }}},
         gate_{loop_, config_.listen, {descriptors_for_peers(config_), kPendingMost}, callbacks()} {
     loop_.on_signal(SIGTERM, [this] { stop("SIGTERM"); });
     loop_.on_signal(SIGINT, [this] { stop("SIGINT"); });
@@ -69,8 +75,11 @@
     if (!config_.settings.ask_for_list) watch_.subscribe();
     step();
     log_.event(log::Level::info, "started",
-               {{"name", config_.name}, {"listen", config_.listen.text()}, {"discovery", config_.discovery.text()},
-                {"known", std::to_string(config_.known ? config_.known->rows.size() : 0)}, {"peers_most", std::to_string(descriptors_for_peers(config_))}});
+               {{"name", config_.name},
+                {"listen", config_.listen.text()},
+                {"discovery", config_.discovery.text()},
+                {"known", std::to_string(config_.known ? config_.known->rows.size() : 0)},
+                {"peers_most", std::to_string(descriptors_for_peers(config_))}});
     log_state_later();
   }
   void run() { loop_.run(); }
@@ -79,7 +88,8 @@
   streams::Gate::Callbacks callbacks() {
     return {[this](streams::StreamId id, const streams::Joined& m) {
               // Every proxy may come to one coordinator; who finds no place is told, and dials another.
-              if (gate_.full() && !instance_.joined(m.proxy)) return streams::Instance::JoinResult{"no room", {}};
+              if (gate_.full() && !instance_.joined(m.proxy))
+                return streams::Instance::JoinResult{"no room", {}};
               schedule();
               return instance_.join(id, m);
             },
@@ -102,7 +112,8 @@
   }
 
   void lost(const std::string& why) {
-    log_.event(log::Level::warning, "watch_lost", {{"why", why}, {"version", std::to_string(watch_.version())}});
+    log_.event(log::Level::warning, "watch_lost",
+               {{"why", why}, {"version", std::to_string(watch_.version())}});
     if (stopping_) return;
     if (config_.settings.ask_for_list) {  // the module says when to ask again
       instance_.list_failed();
@@ -146,11 +157,14 @@
       return;
     }
     std::string others;  // what only a restart takes over
-    const auto changed = [&](bool is, const char* what) { others += is ? (others.empty() ? "" : ", ") + std::string{what} : ""; };
+    const auto changed = [&](bool is, const char* what) {
+      others += is ? (others.empty() ? "" : ", ") + std::string{what} : "";
+    };
     changed(fresh.settings_text != config_.settings_text, "settings");
     changed(fresh.listen != config_.listen, "listen");
     changed(fresh.sockets != config_.sockets, "limits.sockets");
-    log_.event(log::Level::info, "reloaded", {{"discovery", fresh.discovery.text()}, {"needs_a_restart", others}});
+    log_.event(log::Level::info, "reloaded",
+               {{"discovery", fresh.discovery.text()}, {"needs_a_restart", others}});
     config_.discovery = fresh.discovery;
     watch_.set_endpoint(fresh.discovery);
   }
@@ -174,38 +188,40 @@
   void log_state() {
     const auto belief = instance_.believe();
     const auto& counts = gate_.counts();
-    log::Fields fields{{"streams", std::to_string(belief.joined)},
-                       {"peers", std::to_string(gate_.peers())},
-                       {"pending", std::to_string(gate_.pending())},
-                       {"version", std::to_string(watch_.version())},
-                       {"watch", watch_.following() ? "stands" : "none"},
-                       {"list_age_s", list_at_ ? fmt::format("{:.1f}", (loop_.now() - *list_at_).seconds()) : ""},
-                       {"ready", std::to_string(belief.ready)},
-                       {"draining", std::to_string(belief.draining)},
-                       {"names", std::to_string(belief.names)},
-                       {"table_lines", std::to_string(belief.lines)},
-                       {"levels", belief.levels},
-                       {"held_back", belief.held_back},
-                       {"failing", belief.failing},
-                       {"messages_out", std::to_string(counts.messages_out)},
-                       {"lines_out", std::to_string(lines_out_)},
-                       {"bytes_out", std::to_string(counts.bytes_out)},
-                       {"reports", std::to_string(counts.reports)},
-                       {"accepted", std::to_string(counts.accepted)},
-                       {"joins", std::to_string(counts.streams)},
-                       {"protocol_errors", std::to_string(counts.protocol_errors)},
-                       {"not_reading", std::to_string(counts.not_reading)},
-                       {"malformed", listed(counts.malformed)},
-                       {"refused", listed(counts.refusals)},
-                       {"turns", std::to_string(loop_.turns())},
-                       {"steps", std::to_string(steps_)},
-                       {"longest_step_ms", fmt::format("{:.2f}", longest_step_.seconds() * 1000)},
-                       {"longest_decision_ms", fmt::format("{:.2f}", longest_decision_.seconds() * 1000)}};
+    log::Fields fields{
+        {"streams", std::to_string(belief.joined)},
+        {"peers", std::to_string(gate_.peers())},
+        {"pending", std::to_string(gate_.pending())},
+        {"version", std::to_string(watch_.version())},
+        {"watch", watch_.following() ? "stands" : "none"},
+        {"list_age_s", list_at_ ? fmt::format("{:.1f}", (loop_.now() - *list_at_).seconds()) : ""},
+        {"ready", std::to_string(belief.ready)},
+        {"draining", std::to_string(belief.draining)},
+        {"names", std::to_string(belief.names)},
+        {"table_lines", std::to_string(belief.lines)},
+        {"levels", belief.levels},
+        {"held_back", belief.held_back},
+        {"failing", belief.failing},
+        {"messages_out", std::to_string(counts.messages_out)},
+        {"lines_out", std::to_string(lines_out_)},
+        {"bytes_out", std::to_string(counts.bytes_out)},
+        {"reports", std::to_string(counts.reports)},
+        {"accepted", std::to_string(counts.accepted)},
+        {"joins", std::to_string(counts.streams)},
+        {"protocol_errors", std::to_string(counts.protocol_errors)},
+        {"not_reading", std::to_string(counts.not_reading)},
+        {"malformed", listed(counts.malformed)},
+        {"refused", listed(counts.refusals)},
+        {"turns", std::to_string(loop_.turns())},
+        {"steps", std::to_string(steps_)},
+        {"longest_step_ms", fmt::format("{:.2f}", longest_step_.seconds() * 1000)},
+        {"longest_decision_ms", fmt::format("{:.2f}", longest_decision_.seconds() * 1000)}};
     for (const auto& [zone, heard] : belief.zones)
-      fields.emplace_back("zone_" + zone,
-                          fmt::format("tries {:.0f} errored {:.0f} latency_ms {:.0f} busy {:.2f}", heard.tries, heard.errored,
-                                      heard.tries > heard.errored ? 1000 * heard.waited / (heard.tries - heard.errored) : 0,
-                                      heard.told > 0 ? heard.busy / heard.told : 0));
+      fields.emplace_back(
+          "zone_" + zone,
+          fmt::format("tries {:.0f} errored {:.0f} latency_ms {:.0f} busy {:.2f}", heard.tries, heard.errored,
+                      heard.tries > heard.errored ? 1000 * heard.waited / (heard.tries - heard.errored) : 0,
+                      heard.told > 0 ? heard.busy / heard.told : 0));
     log_.event(log::Level::info, "state", fields);
     longest_step_ = longest_decision_ = {};
   }
--- a/src/app/coordinator.hpp
+++ b/src/app/coordinator.hpp
@@ -3,7 +3,8 @@
 
 namespace gorsemount::app {
 
-// To be called before all else, so that no signal can end the program before its handler stands: it waits till then.
+// To be called before all else, so that no signal can end the program before its handler stands: it waits
+// till then.
 void hold_signals();
 
 // Runs until SIGTERM; returns the program's exit code.
--- a/src/app/coordinator_config.cpp
+++ b/src/app/coordinator_config.cpp
@@ -27,7 +27,8 @@
   const auto text = f.text("seed");
   std::uint64_t seed = 0;
   const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
-  if (text.empty() || fault != std::errc{} || end != text.data() + text.size()) f.fail("seed", "is no number in hex of 64 bits");
+  if (text.empty() || fault != std::errc{} || end != text.data() + text.size())
+    f.fail("seed", "is no number in hex of 64 bits");
   return seed;
 }
 
@@ -53,7 +54,8 @@
 
 CoordinatorConfig read_coordinator_config(const Environment& environment) {
   const auto path = environment("GW_CONFIG");
-  if (!path || path->empty()) throw std::runtime_error{"GW_CONFIG is not set: it names the configuration file"};
+  if (!path || path->empty())
+    throw std::runtime_error{"GW_CONFIG is not set: it names the configuration file"};
   std::ifstream file{*path};
   std::ostringstream text;
   if (!file || !(text << file.rdbuf())) throw std::runtime_error{*path + ": can't be read"};
--- a/src/app/coordinator_config.hpp
+++ b/src/app/coordinator_config.hpp
@@ -27,6 +27,7 @@
 
 // Throws std::runtime_error that names the file and what is wrong where.
 [[nodiscard]] CoordinatorConfig read_coordinator_config(const Environment& environment);
-[[nodiscard]] CoordinatorConfig parse_coordinator_config(const std::string& text, const Environment& environment);
+[[nodiscard]] CoordinatorConfig parse_coordinator_config(const std::string& text,
+                                                         const Environment& environment);
 
 }  // namespace gorsemount::app
--- a/src/app/ctl.cpp
+++ b/src/app/ctl.cpp
@@ -47,7 +47,8 @@
 std::optional<std::string> ask(const std::string& where, const std::string& text) {
   const net::Fd fd = dial(where);
   if (!fd) return {};
-  if (::send(fd.get(), text.data(), text.size(), MSG_NOSIGNAL) != static_cast<ssize_t>(text.size())) return {};
+  if (::send(fd.get(), text.data(), text.size(), MSG_NOSIGNAL) != static_cast<ssize_t>(text.size()))
+    return {};
   std::string out;
   std::array<char, 65536> part;
   for (ssize_t n = 0; (n = ::recv(fd.get(), part.data(), part.size(), 0)) != 0;) {
@@ -63,7 +64,8 @@
 
 int ctl(const CtlOptions& options) {
   if (options.complete) {
-    for (const auto& line : runtime_api::Operators::complete(fmt::format("{}", fmt::join(options.words, " "))))
+    for (const auto& line :
+         runtime_api::Operators::complete(fmt::format("{}", fmt::join(options.words, " "))))
       std::printf("%s\n", line.c_str());
     return kWell;
   }
@@ -88,11 +90,13 @@
       code = kFailed;
       return;
     }
-    const std::string text = !token.empty() && !answer->empty() && answer->front() == '\n' ? answer->substr(1) : *answer;
+    const std::string text =
+        !token.empty() && !answer->empty() && answer->front() == '\n' ? answer->substr(1) : *answer;
     std::fputs(text.c_str(), stdout);
     const bool shows = command.starts_with("show ") || command == "help";
-    const bool refused = shows ? text.starts_with("Unknown") || text.starts_with("No ") || text.starts_with("Permission")
-                               : !text.empty();
+    const bool refused =
+        shows ? text.starts_with("Unknown") || text.starts_with("No ") || text.starts_with("Permission")
+              : !text.empty();
     if (refused) code = kRefused;
   };
   if (!options.words.empty()) {
--- a/src/app/day.cpp
+++ b/src/app/day.cpp
@@ -22,8 +22,8 @@
 #include "config/settings.hpp"
 #include "lab/replay/settings.hpp"
 #include "net/loop.hpp"
-#include "standins/auditor.hpp"
 #include "script/day.hpp"
+#include "standins/auditor.hpp"
 
 namespace gorsemount::app {
 
@@ -34,7 +34,7 @@
 using standins::Count;
 using standins::Day;
 
-const Span kPrelude = Span::seconds(1.5);   // for coordinators to bind and hear of every worker
+const Span kPrelude = Span::seconds(1.5);  // for coordinators to bind and hear of every worker
 const Span kPoll = Span::seconds(0.05);
 const Span kStrike = Span::seconds(0.003);  // well below a lease
 constexpr unsigned kFleetOctets = 10;
@@ -52,7 +52,8 @@
     if (pid_ > 0) return;
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (getppid() != parent) _exit(127);
-    if (const int fd = open(errors.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644); fd >= 0) dup2(fd, STDERR_FILENO);
+    if (const int fd = open(errors.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644); fd >= 0)
+      dup2(fd, STDERR_FILENO);
     sigset_t none;
     sigemptyset(&none);
     sigprocmask(SIG_SETMASK, &none, nullptr);
@@ -84,8 +85,14 @@
 // One fleet: its coordinators, its stand-ins, its folder.
 class Fleet {
  public:
-  Fleet(const Day& day, std::string file, std::string folder, standins::Places places, const std::vector<lab::Override>& changes, bool fixed, bool show)
-      : day_{day}, file_{std::move(file)}, folder_{std::move(folder)}, places_{places}, fixed_{fixed}, show_{show} {
+  Fleet(const Day& day, std::string file, std::string folder, standins::Places places,
+        const std::vector<lab::Override>& changes, bool fixed, bool show)
+      : day_{day},
+        file_{std::move(file)},
+        folder_{std::move(folder)},
+        places_{places},
+        fixed_{fixed},
+        show_{show} {
     fs::create_directories(folder_);
     fs::copy_file(file_, folder_ + "/day.hcl", fs::copy_options::overwrite_existing);
     std::ofstream{folder_ + "/roster.hcl"} << standins::roster_text(standins::roster_of(day_, places_));
@@ -94,13 +101,20 @@
       for (const auto& change : changes) text = lab::put(std::move(text), change);
       std::ofstream{settings(k)} << text;
     }
-    if (day_.shared) std::ofstream{folder_ + "/keys"} << "1 " << std::string(64, '5') << "\n";  // of this day only
+    if (day_.shared)
+      std::ofstream{folder_ + "/keys"} << "1 " << std::string(64, '5') << "\n";  // of this day only
     coordinators_.resize(day_.coordinators.size());
   }
 
   void start(net::Loop& loop, Instant begin) {
-    std::vector<std::string> command{beside("gorsemount-standin"), "play", file_, "--folder", folder_, "--octet",
-                                     std::to_string(places_.octet), "--start",
+    std::vector<std::string> command{beside("gorsemount-standin"),
+                                     "play",
+                                     file_,
+                                     "--folder",
+                                     folder_,
+                                     "--octet",
+                                     std::to_string(places_.octet),
+                                     "--start",
                                      std::to_string((begin - Instant{}).micros())};
     if (show_) command.emplace_back("--show");
     stage_.emplace(std::move(command), folder_ + "/errors.log");
@@ -108,7 +122,8 @@
     for (const auto& person : day_.persons)
       loop.at(begin + person.at, [this, &person] {
         for (std::size_t k = 1; k <= coordinators_.size(); ++k)
-          if (coordinators_[k - 1]) static_cast<void>(ctl({fmt::format("{}/pwani-{}.sock", folder_, k), "", {person.words}, false}));
+          if (coordinators_[k - 1])
+            static_cast<void>(ctl({fmt::format("{}/pwani-{}.sock", folder_, k), "", {person.words}, false}));
       });
     for (const auto& kill : day_.kills)
       for (std::size_t k = 1; k <= coordinators_.size(); ++k)
@@ -154,9 +169,7 @@
   }
   // True once the stand-ins are done.
   [[nodiscard]] bool over() { return stage_->ended(); }
-  [[nodiscard]] bool failed() const {
-    return stage_->code() != 0;
-  }
+  [[nodiscard]] bool failed() const { return stage_->code() != 0; }
   void stop() {
     for (auto& c : coordinators_)
       if (c) c->end(SIGTERM);
@@ -167,7 +180,9 @@
   [[nodiscard]] const std::string& folder() const { return folder_; }
 
  private:
-  [[nodiscard]] std::string settings(std::size_t k) const { return fmt::format("{}/pwani-{}.hcl", folder_, k); }
+  [[nodiscard]] std::string settings(std::size_t k) const {
+    return fmt::format("{}/pwani-{}.hcl", folder_, k);
+  }
   static std::string beside(const char* program) {
     return (fs::read_symlink("/proc/self/exe").parent_path() / program).string();
   }
@@ -196,29 +211,37 @@
 
 void print_rules(const Audit& a) {
   for (const auto& v : a.verdicts)
-    std::printf("%s\n", fmt::format("  {:<34} {:<6} {:>9.3f} of {:>9.3f} {:<24} {}", v.rule, v.kept ? "kept" : "BROKEN",
-                                    v.worst, v.limit, v.unit, v.detail).c_str());
-  for (const auto& [what, r] : {std::pair{"a worker's crash to the first list without it", &a.crash_to_answer},
-                                {"a worker's crash to the last list with it", &a.crash_to_last},
-                                {"a forwarder's losing its leader to the next", &a.unled},
-                                {"a table's leaving the channel to in force", &a.in_force},
-                                {"a drain to the last invocation sent there", &a.drain_to_last}})
+    std::printf("%s\n", fmt::format("  {:<34} {:<6} {:>9.3f} of {:>9.3f} {:<24} {}", v.rule,
+                                    v.kept ? "kept" : "BROKEN", v.worst, v.limit, v.unit, v.detail)
+                            .c_str());
+  for (const auto& [what, r] :
+       {std::pair{"a worker's crash to the first list without it", &a.crash_to_answer},
+        {"a worker's crash to the last list with it", &a.crash_to_last},
+        {"a forwarder's losing its leader to the next", &a.unled},
+        {"a table's leaving the channel to in force", &a.in_force},
+        {"a drain to the last invocation sent there", &a.drain_to_last}})
     if (!r->seconds.empty())
-      std::printf("  from %-46s %7.3f s in the middle, %7.3f s at worst, of %zu\n", what, r->middle(), r->worst(), r->seconds.size());
+      std::printf("  from %-46s %7.3f s in the middle, %7.3f s at worst, of %zu\n", what, r->middle(),
+                  r->worst(), r->seconds.size());
   if (a.cuts > 0) std::printf("  orders were cut at %zu seeded byte offsets\n", a.cuts);
   if (a.disobedient_refused > 0)
-    std::printf("  %llu invocations of clients that disobey were refused by draining workers before they began\n",
-                static_cast<unsigned long long>(a.disobedient_refused));
+    std::printf(
+        "  %llu invocations of clients that disobey were refused by draining workers before they began\n",
+        static_cast<unsigned long long>(a.disobedient_refused));
 }
 
 void print_table(const Audit& ours, const Audit* fixed) {
-  std::printf("\nBilled value answered within the latency objective, over that asked for\n  %-16s %6s %8s %6s %8s %8s %8s%s\n",
-              "", "asked", "service", "late", "errored", "limited", "no line", fixed != nullptr ? "      fixed  differs" : "");
+  std::printf(
+      "\nBilled value answered within the latency objective, over that asked for\n  %-16s %6s %8s %6s %8s "
+      "%8s %8s%s\n",
+      "", "asked", "service", "late", "errored", "limited", "no line",
+      fixed != nullptr ? "      fixed  differs" : "");
   print_counts("whole day", ours.whole, fixed != nullptr ? &fixed->whole : nullptr);
   for (const auto& [name, c] : ours.by_operation) {
     const Count* theirs = nullptr;
     if (fixed != nullptr)
-      if (const auto it = fixed->by_operation.find(name); it != fixed->by_operation.end()) theirs = &it->second;
+      if (const auto it = fixed->by_operation.find(name); it != fixed->by_operation.end())
+        theirs = &it->second;
     print_counts(name, c, theirs);
   }
   for (std::size_t k = 0; k < ours.by_phase.size(); ++k)
@@ -236,18 +259,24 @@
 const Span kLongest = Span::seconds(600);
 
 int play(const Day& day, const DayOptions& options, const std::string& folder) {
-  if (day.length > kLongest) throw std::runtime_error{fmt::format("{}: a day on loopback lasts {} at most; `gorsemount replay` plays longer ones", options.day, config::span_text(kLongest))};
+  if (day.length > kLongest)
+    throw std::runtime_error{
+        fmt::format("{}: a day on loopback lasts {} at most; `gorsemount replay` plays longer ones",
+                    options.day, config::span_text(kLongest))};
   std::vector<lab::Override> changes;
   for (const auto& change : options.changes) changes.push_back(lab::read_override(change));
-  for (std::size_t k = 1; k <= day.coordinators.size(); ++k) static_cast<void>(lab::settings_for(day, k, "", changes));  // faults now
+  for (std::size_t k = 1; k <= day.coordinators.size(); ++k)
+    static_cast<void>(lab::settings_for(day, k, "", changes));  // faults now
   net::Loop loop;
   const Instant begin = net::monotonic_now() + kPrelude;
   std::vector<std::unique_ptr<Fleet>> fleets;
-  fleets.push_back(std::make_unique<Fleet>(day, options.day, folder + "/module", standins::Places{options.octet}, changes,
-                                           day.unsafe.fixed_weights, !options.quiet));
+  fleets.push_back(std::make_unique<Fleet>(day, options.day, folder + "/module",
+                                           standins::Places{options.octet}, changes, day.unsafe.fixed_weights,
+                                           !options.quiet));
   if (options.baseline)
     fleets.push_back(std::make_unique<Fleet>(day, options.day, folder + "/fixed",
-                                             standins::Places{options.octet + kFleetOctets}, changes, true, false));
+                                             standins::Places{options.octet + kFleetOctets}, changes, true,
+                                             false));
   for (auto& fleet : fleets) fleet->start(loop, begin);
   bool interrupted = false;
   for (const int signal : {SIGINT, SIGTERM}) loop.on_signal(signal, [&] { interrupted = true, loop.stop(); });
--- a/src/app/day.hpp
+++ b/src/app/day.hpp
@@ -1,5 +1,6 @@
-// `gorsemount day`: plays a scripted day on loopback, with the real coordinators as processes of their own and
-// the stand-ins in another, beside the same day under fixed weights; then judges what passed on the sockets.
+// `gorsemount day`: plays a scripted day on loopback, with the real coordinators as processes of their own
+// and the stand-ins in another, beside the same day under fixed weights; then judges what passed on the
+// sockets.
 #pragma once
 
 #include <string>
@@ -9,13 +10,14 @@
 
 struct DayOptions {
   std::string day;
-  std::string folder;        // records, settings and logs; empty: one that is removed at the end
+  std::string folder;                // records, settings and logs; empty: one that is removed at the end
   std::vector<std::string> changes;  // of all coordinators' settings: block.name=value
   bool baseline = true;
-  bool quiet = false;        // no live line
-  unsigned octet = 20;       // of the loopback addresses used: 127.octet to 127.octet+19
+  bool quiet = false;   // no live line
+  unsigned octet = 20;  // of the loopback addresses used: 127.octet to 127.octet+19
 };
-// Returns the exit code: kBadSettings for a change that can't be, kRuleBroken if a rule broke under the module.
+// Returns the exit code: kBadSettings for a change that can't be, kRuleBroken if a rule broke under the
+// module.
 int day(const DayOptions& options);
 
 }  // namespace gorsemount::app
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -1,6 +1,5 @@
 // The program `gorsemount`: subcommands and exit codes.
 #include <CLI/CLI.hpp>
-
 #include <string_view>
 
 #ifdef GORSEMOUNT_ALL_COMMANDS
@@ -16,8 +15,9 @@
   app.require_subcommand(1);
   int code = kWell;
 
-  auto* coordinator_command = app.add_subcommand(
-      "coordinator", "run a coordinator on a platform that tells it all by GW_CONFIG, until SIGTERM; SIGHUP reads that again");
+  auto* coordinator_command = app.add_subcommand("coordinator",
+                                                 "run a coordinator on a platform that tells it all by "
+                                                 "GW_CONFIG, until SIGTERM; SIGHUP reads that again");
   coordinator_command->callback([&] { code = coordinator(); });
 #ifdef GORSEMOUNT_ALL_COMMANDS
   const auto held = add_commands(app, code);
--- a/src/app/record.cpp
+++ b/src/app/record.cpp
@@ -36,7 +36,9 @@
 
 Span span_of(const char* option, const std::string& text) {
   const auto span = config::parse_span(text);
-  if (!span || *span < Span::seconds(1)) throw std::runtime_error{fmt::format("{} {}: expected a span of a second or more, such as 10m", option, text)};
+  if (!span || *span < Span::seconds(1))
+    throw std::runtime_error{
+        fmt::format("{} {}: expected a span of a second or more, such as 10m", option, text)};
   return *span;
 }
 
@@ -59,31 +61,39 @@
   std::map<std::string, Open> open;
   std::map<std::string, std::string> place;
   const auto number = [](auto& numbers, std::vector<std::string>& names, const std::string& name) {
-    const auto [it, fresh] = numbers.try_emplace(name, static_cast<typename std::decay_t<decltype(numbers)>::mapped_type>(names.size()));
+    const auto [it, fresh] = numbers.try_emplace(
+        name, static_cast<typename std::decay_t<decltype(numbers)>::mapped_type>(names.size()));
     if (fresh) names.push_back(name);
     return it->second;
   };
-  const std::map<std::string, record::Outcome> outcomes{{"succeeded", record::Outcome::succeeded}, {"late", record::Outcome::late},
-                                                        {"errored", record::Outcome::errored}, {"rate_limited", record::Outcome::limited},
+  const std::map<std::string, record::Outcome> outcomes{{"succeeded", record::Outcome::succeeded},
+                                                        {"late", record::Outcome::late},
+                                                        {"errored", record::Outcome::errored},
+                                                        {"rate_limited", record::Outcome::limited},
                                                         {"no_line", record::Outcome::no_line}};
   for (const auto& e : standins::read_records(folder)) {
     if (e.what == "asked") {
       const std::string id = e.text("id");
-      open[id] = {e.t, number(operations, r.operations, e.text("operation")), 0, number(proxies, r.proxies, id.substr(0, id.rfind('-'))), 65535};
+      open[id] = {e.t, number(operations, r.operations, e.text("operation")), 0,
+                  number(proxies, r.proxies, id.substr(0, id.rfind('-'))), 65535};
     } else if (e.what == "arrived") {
-      if (const auto it = open.find(e.text("id")); it != open.end()) ++it->second.tries, it->second.worker = number(workers, r.workers, e.text("worker"));
+      if (const auto it = open.find(e.text("id")); it != open.end())
+        ++it->second.tries, it->second.worker = number(workers, r.workers, e.text("worker"));
     } else if (e.what == "done") {
       const auto it = open.find(e.text("id"));
       const auto outcome = outcomes.find(e.text("outcome"));
       if (it == open.end() || outcome == outcomes.end()) continue;
       const Open& o = it->second;
-      r.invocations.push_back({o.came, static_cast<std::uint32_t>(e.t - o.came), o.operation, static_cast<std::uint8_t>(outcome->second), o.tries, o.proxy, o.worker});
+      r.invocations.push_back({o.came, static_cast<std::uint32_t>(e.t - o.came), o.operation,
+                               static_cast<std::uint8_t>(outcome->second), o.tries, o.proxy, o.worker});
       open.erase(it);
     }
   }
   for (const auto& [id, o] : open)
-    r.invocations.push_back({o.came, 0, o.operation, static_cast<std::uint8_t>(record::Outcome::open), o.tries, o.proxy, o.worker});
-  std::stable_sort(r.invocations.begin(), r.invocations.end(), [](const auto& a, const auto& b) { return a.came < b.came; });
+    r.invocations.push_back({o.came, 0, o.operation, static_cast<std::uint8_t>(record::Outcome::open),
+                             o.tries, o.proxy, o.worker});
+  std::stable_sort(r.invocations.begin(), r.invocations.end(),
+                   [](const auto& a, const auto& b) { return a.came < b.came; });
   if (r.invocations.empty()) throw std::runtime_error{folder + ": holds no records of invocations"};
   return r;
 }
@@ -111,13 +121,15 @@
       for (const auto& w : wrong) std::printf("%s: %s\n", o.file.c_str(), w.c_str());
       if (r.cut) std::printf("%s: cut off; whole up to its last row\n", o.file.c_str());
       if (!wrong.empty()) return kBadSettings;
-      std::printf("%s: good, %zu steps, %zu invocations\n", o.file.c_str(), r.steps.size(), r.invocations.size());
+      std::printf("%s: good, %zu steps, %zu invocations\n", o.file.c_str(), r.steps.size(),
+                  r.invocations.size());
     } else if (o.action == "cut") {
       record::write(record::cut(r, o.from, o.to), o.out);
     } else if (o.action == "merge") {
       const auto m = record::merge(r, record::read(o.other));
       record::write(m.recording, o.out);
-      std::printf("%s: the second one's clock is %+.6f s off, by %zu workers that differ by up to %.6f s\n", o.out.c_str(), m.offset, m.common, m.spread);
+      std::printf("%s: the second one's clock is %+.6f s off, by %zu workers that differ by up to %.6f s\n",
+                  o.out.c_str(), m.offset, m.common, m.spread);
     } else {
       const auto text = record::export_as(r, o.form, o.table);
       if (o.out.empty()) {
@@ -135,7 +147,8 @@
 
 int replay(const ReplayOptions& o) {
   try {
-    if (!o.window.empty() && !(o.page.empty() && o.out.empty())) throw std::runtime_error{"--page and --out are of whole days: leave out --window"};
+    if (!o.window.empty() && !(o.page.empty() && o.out.empty()))
+      throw std::runtime_error{"--page and --out are of whole days: leave out --window"};
     const bool scripted = o.day.ends_with(".hcl");
     record::Recording recording;
     lab::Fitted fitted;
@@ -148,7 +161,8 @@
       recording = record::read(o.day);
       if (o.same) {
         const auto same = lab::same_orders(recording);
-        std::printf("%zu of %zu steps ordered the same\n", same.compared - (same.difference.empty() ? 0 : 1), recording.steps.size());
+        std::printf("%zu of %zu steps ordered the same\n", same.compared - (same.difference.empty() ? 0 : 1),
+                    recording.steps.size());
         if (!same.stopped.empty()) std::printf("  not further: %s\n", same.stopped.c_str());
         if (!same.difference.empty()) std::printf("  %s\n", same.difference.c_str());
         return same.difference.empty() && same.compared > 0 ? kWell : kRuleBroken;
@@ -157,11 +171,14 @@
     }
     if (o.thin > 1) fitted.day = lab::thinned(fitted.day, o.thin);
     for (const auto& e : fitted.estimates)
-      std::printf("%s\n", fmt::format("  estimated: {} {:.4g}, likely {:.4g} to {:.4g} ({})", e.what, e.value, e.low, e.high, e.how).c_str());
+      std::printf("%s\n", fmt::format("  estimated: {} {:.4g}, likely {:.4g} to {:.4g} ({})", e.what, e.value,
+                                      e.low, e.high, e.how)
+                              .c_str());
     for (const auto& u : fitted.unknown) std::printf("  not recorded: %s\n", u.c_str());
     std::vector<lab::Variant> variants{{"as recorded", "", {}}};
     if (!o.config.empty()) variants[0] = {"A " + o.config[0], text_of(o.config[0]), {}};
-    for (std::size_t k = 1; k < o.config.size(); ++k) variants.push_back({"B " + o.config[k], text_of(o.config[k]), {}});
+    for (std::size_t k = 1; k < o.config.size(); ++k)
+      variants.push_back({"B " + o.config[k], text_of(o.config[k]), {}});
     if (!o.changes.empty()) {
       lab::Variant b = variants.back();
       b.name = o.changes.front();
@@ -183,28 +200,52 @@
     if (!recording.invocations.empty()) {
       const auto played = lab::play(fitted.day, {variants.front()}, 1, 1, world, [](double) {});
       const auto c = lab::calibrate(recording, fitted.day, played[0].outcomes[0]);
-      std::printf("%s\n", fmt::format("Calibration: the recorded day beside the world's under the recorded settings\n  {:<40} {:>10} {:>10} {:>9}", "", "recorded", "played", "differs").c_str());
-      for (const auto& row : c.rows) std::printf("%s\n", fmt::format("  {:<40} {:>10.4f} {:>10.4f} {:>+9.4f}", row.what, row.recorded, row.played, row.played - row.recorded).c_str());
+      std::printf("%s\n", fmt::format("Calibration: the recorded day beside the world's under the recorded "
+                                      "settings\n  {:<40} {:>10} {:>10} {:>9}",
+                                      "", "recorded", "played", "differs")
+                              .c_str());
+      for (const auto& row : c.rows)
+        std::printf("%s\n", fmt::format("  {:<40} {:>10.4f} {:>10.4f} {:>+9.4f}", row.what, row.recorded,
+                                        row.played, row.played - row.recorded)
+                                .c_str());
       if (!c.matched())
-        remark = fmt::format("NOT MATCHED: the played day differs from the recorded one by {:.3f} of the service count (bound 0.03) and {:.3f} of a zone's part (bound 0.1)", c.service_error, c.zone_error);
+        remark = fmt::format(
+            "NOT MATCHED: the played day differs from the recorded one by {:.3f} of the service count (bound "
+            "0.03) and {:.3f} of a zone's part (bound 0.1)",
+            c.service_error, c.zone_error);
       std::printf("  %s\n", remark.empty() ? "matched" : remark.c_str());
     }
     world.list = !o.out.empty();
     if (!o.window.empty()) {
-      const auto played = lab::play_windows(fitted.day, variants, {span_of("--window", o.window), span_of("--warm", o.warm), o.part, o.first}, o.jobs, world, progress);
+      const auto played = lab::play_windows(
+          fitted.day, variants, {span_of("--window", o.window), span_of("--warm", o.warm), o.part, o.first},
+          o.jobs, world, progress);
       std::printf("%s", lab::table(fitted.day, played).c_str());
       if (!remark.empty()) std::printf("  %s\n", remark.c_str());
-      return std::any_of(played.variants.begin(), played.variants.end(), [](const auto& v) { return !v.broken.empty(); }) ? kRuleBroken : kWell;
+      return std::any_of(played.variants.begin(), played.variants.end(),
+                         [](const auto& v) { return !v.broken.empty(); })
+                 ? kRuleBroken
+                 : kWell;
     }
     const auto played = lab::play(fitted.day, variants, o.seeds, o.jobs, world, progress);
     std::printf("%s", lab::table(fitted.day, played).c_str());
     if (!o.sweep.empty())
       for (std::size_t k = 1; k < played.size(); ++k)
-        std::printf("%s\n", fmt::format("  {:<24} {:.5f} {}", played[k].name, played[k].whole.service(), std::string(static_cast<std::size_t>(std::max(0.0, 60 * played[k].whole.service())), '#')).c_str());
+        std::printf(
+            "%s\n",
+            fmt::format(
+                "  {:<24} {:.5f} {}", played[k].name, played[k].whole.service(),
+                std::string(static_cast<std::size_t>(std::max(0.0, 60 * played[k].whole.service())), '#'))
+                .c_str());
     if (!remark.empty()) std::printf("  %s\n", remark.c_str());
     if (!o.page.empty()) save(o.page, lab::page(fitted.day, played, remark));
-    if (!o.out.empty()) record::write(lab::recording_of(fitted.day, scripted ? text_of(o.day) : recording.header.day, played[0].outcomes[0]), o.out);
-    return std::any_of(played.begin(), played.end(), [](const auto& p) { return !p.broken.empty(); }) ? kRuleBroken : kWell;
+    if (!o.out.empty())
+      record::write(lab::recording_of(fitted.day, scripted ? text_of(o.day) : recording.header.day,
+                                      played[0].outcomes[0]),
+                    o.out);
+    return std::any_of(played.begin(), played.end(), [](const auto& p) { return !p.broken.empty(); })
+               ? kRuleBroken
+               : kWell;
   } catch (const std::exception& fault) {
     std::fprintf(stderr, "gorsemount: %s\n", fault.what());
     return kBadSettings;
--- a/src/app/records.cpp
+++ b/src/app/records.cpp
@@ -20,18 +20,22 @@
   file_.reset(std::fopen(file.c_str(), "ae"));
   if (!file_) throw std::system_error{errno, std::generic_category(), "records file " + file};
   std::setvbuf(file_.get(), nullptr, _IOLBF, 4096);  // whole lines, whenever the process is killed
-  fmt::print(file_.get(), "{{\"t\":{},\"what\":\"coordinator_start\",\"coordinator\":\"{}\"}}\n", micros_now(), coordinator_);
+  fmt::print(file_.get(), "{{\"t\":{},\"what\":\"coordinator_start\",\"coordinator\":\"{}\"}}\n",
+             micros_now(), coordinator_);
 }
 
 void Records::message(const coordinator::Message& m) {
   if (!file_) return;
-  fmt::print(file_.get(), "{{\"t\":{},\"what\":\"message\",\"coordinator\":\"{}\",\"group\":{},\"lines\":{}}}\n",
+  fmt::print(file_.get(),
+             "{{\"t\":{},\"what\":\"message\",\"coordinator\":\"{}\",\"group\":{},\"lines\":{}}}\n",
              micros_now(), coordinator_, m.group.value, m.lines);
 }
 
 void Records::in_force(ProxyId forwarder, std::uint64_t version, Span took, std::size_t changes) {
   if (!file_) return;
-  fmt::print(file_.get(), "{{\"t\":{},\"what\":\"in_force\",\"coordinator\":\"{}\",\"forwarder\":{},\"version\":{},\"took\":{},\"changes\":{}}}\n",
+  fmt::print(file_.get(),
+             "{{\"t\":{},\"what\":\"in_force\",\"coordinator\":\"{}\",\"forwarder\":{},\"version\":{},"
+             "\"took\":{},\"changes\":{}}}\n",
              micros_now(), coordinator_, forwarder.value, version, took.seconds(), changes);
 }
 
--- a/src/app/roster_file.hpp
+++ b/src/app/roster_file.hpp
@@ -1,5 +1,5 @@
-// The roster's file, read again when it changed: a look is background work, since a long file takes longer to parse
-// than an answer may wait.
+// The roster's file, read again when it changed: a look is background work, since a long file takes longer to
+// parse than an answer may wait.
 #pragma once
 
 #include <mutex>
@@ -14,7 +14,8 @@
 class RosterFile {
  public:
   // Zones and operations are those of `settings` for good.
-  RosterFile(coordinator::Settings settings, std::string file) : settings_{std::move(settings)}, file_{std::move(file)} {}
+  RosterFile(coordinator::Settings settings, std::string file)
+      : settings_{std::move(settings)}, file_{std::move(file)} {}
 
   struct Look {
     std::string file;
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -11,6 +11,7 @@
 #include "app/exit_codes.hpp"
 #include "app/records.hpp"
 #include "app/roster_file.hpp"
+#include "app/store.hpp"
 #include "background/background.hpp"
 #include "cluster/cluster.hpp"
 #include "config/settings.hpp"
@@ -22,11 +23,10 @@
 #include "net/loop.hpp"
 #include "peers/links.hpp"
 #include "record/recorder.hpp"
+#include "recovery/belief.hpp"
 #include "runtime_api/command_server.hpp"
 #include "runtime_api/operators.hpp"
 #include "shared_fleet/part.hpp"
-#include "app/store.hpp"
-#include "recovery/belief.hpp"
 #include "store/keeper.hpp"
 
 namespace gorsemount::app {
@@ -38,9 +38,9 @@
 
 // Inputs of one moment are stepped together: replies come by the hundred, and a step each would be waste.
 const Span kGather = Span::seconds(0.004);
-const Span kSeenEvery = Span::seconds(1);     // a group's lookups are told to the core once a second
-const Span kTell = Span::seconds(0.25);       // between looks at what other controllers are to hear of
-const Span kLastWords = Span::seconds(0.5);   // for TCP answers that are being written at a stop
+const Span kSeenEvery = Span::seconds(1);    // a group's lookups are told to the core once a second
+const Span kTell = Span::seconds(0.25);      // between looks at what other controllers are to hear of
+const Span kLastWords = Span::seconds(0.5);  // for TCP answers that are being written at a stop
 
 dns::FrontSettings front_settings(const ServeSettings& s) {
   dns::FrontSettings f;
@@ -57,8 +57,9 @@
 runtime_api::DriverSettings driver_settings(const ServeSettings& s) {
   runtime_api::DriverSettings d;
   for (std::size_t k = 0; k < s.core.forwarders.size(); ++k)
-    d.targets.push_back({ProxyId{static_cast<std::uint16_t>(coordinator::kFirstForwarder + k)}, s.core.forwarders[k].name,
-                         s.runtime.forwarders[k].at, s.runtime.forwarders[k].path});
+    d.targets.push_back({ProxyId{static_cast<std::uint16_t>(coordinator::kFirstForwarder + k)},
+                         s.core.forwarders[k].name, s.runtime.forwarders[k].at,
+                         s.runtime.forwarders[k].path});
   for (const auto& op : s.core.operations) d.operations.push_back(op.name);
   d.shared = !s.cluster.members.empty(), d.leader = s.cluster.member;
   d.report_every = s.core.report_every, d.read_back_every = s.runtime.read_back_every;
@@ -81,15 +82,20 @@
         roster_{s_.core, s_.roster_file},
         front_{front_settings(s_), core_.group_map()},
         prober_{loop_,
-                {s_.health_path, s_.load_path, s_.health_every, s_.health_again, s_.health_timeout, s_.load_every, s_.load_timeout,
-                 s_.core.operations},
+                {s_.health_path, s_.load_path, s_.health_every, s_.health_again, s_.health_timeout,
+                 s_.load_every, s_.load_timeout, s_.core.operations},
                 [this](Input input) { take(std::move(input)); }},
         seen_(s_.core.groups.size()),
-        driver_{loop_, driver_settings(s_),
+        driver_{loop_,
+                driver_settings(s_),
                 {[this](Input input) { take(std::move(input)); },
                  [this](const std::string& name) { return core_.id_of(name); },
-                 [this](bool warning, const std::string& event, const log::Fields& fields) { say(warning, event, fields); },
-                 [this](ProxyId id) { return !cluster_ || cluster_->leads(shard_of(id), net::monotonic_now()).has_value(); },
+                 [this](bool warning, const std::string& event, const log::Fields& fields) {
+                   say(warning, event, fields);
+                 },
+                 [this](ProxyId id) {
+                   return !cluster_ || cluster_->leads(shard_of(id), net::monotonic_now()).has_value();
+                 },
                  [this](ProxyId id, std::uint64_t version, Span took, std::size_t changes) {
                    records_.in_force(id, version, took, changes);
                  },
@@ -98,7 +104,8 @@
                  }}} {}
 
   int run() {
-    // Before any thread begins: a signal is the loop's, and to a thread that does not expect it it is the end.
+    // Before any thread begins: a signal is the loop's, and to a thread that does not expect it it is the
+    // end.
     sigset_t ours;
     sigemptyset(&ours);
     for (const int signal : {SIGTERM, SIGINT, SIGHUP}) sigaddset(&ours, signal);
@@ -109,14 +116,17 @@
     heed(roster_.look());
     step();
     try {
-      server_.emplace(loop_, front_, dns::ServerSettings{s_.listen, static_cast<std::size_t>(s_.tcp_most), s_.tcp_idle},
+      server_.emplace(loop_, front_,
+                      dns::ServerSettings{s_.listen, static_cast<std::size_t>(s_.tcp_most), s_.tcp_idle},
                       [this](ProxyId group) { looked_up(group); });
     } catch (const std::exception& fault) {
       log_.event(log::Level::error, "cannot_listen", {{"at", s_.listen.text()}, {"why", fault.what()}});
       return kCannotListen;
     }
     log_.event(log::Level::info, "listening",
-               {{"at", s_.listen.text()}, {"origin", s_.dns.origin}, {"zone", s_.zone_name},
+               {{"at", s_.listen.text()},
+                {"origin", s_.dns.origin},
+                {"zone", s_.zone_name},
                 {"lifetime", config::span_text(coordinator::answer_lifetime(s_.core))}});
     if (!open_operators() || !join_cluster()) return kCannotListen;
     loop_.on_signal(SIGTERM, [this] { stop(); });
@@ -128,12 +138,17 @@
     const auto c = core_.counters();
     const auto& f = front_.counters();
     log_.event(log::Level::info, "stopped",
-               {{"answers", std::to_string(f.answers)}, {"truncated", std::to_string(f.truncated)},
-                {"rate_limited", std::to_string(f.rate_limited)}, {"unsent", std::to_string(server_->unsent())},
-                {"steps", std::to_string(c.steps)}, {"orders", std::to_string(c.orders)},
-                {"messages", std::to_string(c.messages)}, {"held_back", std::to_string(c.held_back)},
+               {{"answers", std::to_string(f.answers)},
+                {"truncated", std::to_string(f.truncated)},
+                {"rate_limited", std::to_string(f.rate_limited)},
+                {"unsent", std::to_string(server_->unsent())},
+                {"steps", std::to_string(c.steps)},
+                {"orders", std::to_string(c.orders)},
+                {"messages", std::to_string(c.messages)},
+                {"held_back", std::to_string(c.held_back)},
                 {"most_waiting", fmt::format("{:.0f}", c.most_waiting)},
-                {"cut_unasked", std::to_string(c.cut_unasked)}, {"stood_in", std::to_string(c.stood_in)}});
+                {"cut_unasked", std::to_string(c.cut_unasked)},
+                {"stood_in", std::to_string(c.stood_in)}});
     return kWell;
   }
 
@@ -170,18 +185,26 @@
       auto disk = store::open_folder(s_.store_folder);
       const auto clocks = read_clocks();
       const auto loaded = store::load(*disk, settings, clocks);
-      for (const auto& fault : loaded.faults) log_.event(log::Level::warning, "store_passed_over", {{"what", fault}});
+      for (const auto& fault : loaded.faults)
+        log_.event(log::Level::warning, "store_passed_over", {{"what", fault}});
       recovery::Believed believed;
-      if (loaded.confirmed) believed = recovery::believe(loaded.entries, *loaded.confirmed, Instant{} + Span::micros(clocks.mono));
+      if (loaded.confirmed)
+        believed =
+            recovery::believe(loaded.entries, *loaded.confirmed, Instant{} + Span::micros(clocks.mono));
       log_.event(log::Level::info, loaded.blank.empty() ? "store_read" : "store_blank",
-                 {{"facts", std::to_string(believed.acts.size())}, {"hints", std::to_string(loaded.entries.size() - believed.acts.size())},
-                  {"age", loaded.age.span ? config::span_text(*loaded.age.span) : "unknown"}, {"clocks", loaded.age.doubt}, {"why", loaded.blank}});
+                 {{"facts", std::to_string(believed.acts.size())},
+                  {"hints", std::to_string(loaded.entries.size() - believed.acts.size())},
+                  {"age", loaded.age.span ? config::span_text(*loaded.age.span) : "unknown"},
+                  {"clocks", loaded.age.doubt},
+                  {"why", loaded.blank}});
       std::vector<recovery::Entry> first = believed.acts;
       if (!believed.acts.empty()) inputs_.emplace_back(coordinator::Recalled{std::move(believed.acts), true});
       std::uint64_t sequence = 0;
       for (auto& e : first) e.sequence = ++sequence;
       keeper_.emplace(*background_, std::move(disk), std::move(settings), std::move(first), read_clocks,
-                      [this](const std::string& event, const std::string& what) { log_.event(log::Level::warning, event, {{"what", what}}); });
+                      [this](const std::string& event, const std::string& what) {
+                        log_.event(log::Level::warning, event, {{"what", what}});
+                      });
       keep();
     } catch (const std::exception& fault) {
       log_.event(log::Level::warning, "store_stopped", {{"what", fault.what()}});
@@ -199,10 +222,14 @@
     try {
       record::Header header;
       header.name = s_.name, header.settings = s_.text;
-      header.began_wall = std::chrono::duration_cast<std::chrono::microseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
+      header.began_wall = std::chrono::duration_cast<std::chrono::microseconds>(
+                              std::chrono::system_clock::now().time_since_epoch())
+                              .count();
       // From a background thread; the log takes lines from any.
-      recorder_.emplace(*background_, record::RecorderSettings{s_.recording_file, s_.recording_most, 4096}, std::move(header), Instant{},
-                        [this](const std::string& why) { log_.event(log::Level::warning, "recording_stopped", {{"why", why}}); });
+      recorder_.emplace(*background_, record::RecorderSettings{s_.recording_file, s_.recording_most, 4096},
+                        std::move(header), Instant{}, [this](const std::string& why) {
+                          log_.event(log::Level::warning, "recording_stopped", {{"why", why}});
+                        });
       return true;
     } catch (const std::exception& fault) {
       log_.event(log::Level::error, "cannot_record", {{"why", fault.what()}});
@@ -218,20 +245,25 @@
         std::vector<hcl::Fault> faults;
         token = config::read_file(s_.runtime.token_file, faults);
         token.erase(token.find_last_not_of(" \r\n") + 1);
-        if (!faults.empty() || token.size() < 16) throw std::runtime_error{s_.runtime.token_file + ": expected a token of 16 characters or more"};
+        if (!faults.empty() || token.size() < 16)
+          throw std::runtime_error{s_.runtime.token_file + ": expected a token of 16 characters or more"};
       }
-      operators_.emplace(core_, [this](const coordinator::PersonOrders& order) { return ordered(order); },
-                         [this] { return driver_.status(); }, token);
+      operators_.emplace(
+          core_, [this](const coordinator::PersonOrders& order) { return ordered(order); },
+          [this] { return driver_.status(); }, token);
       operators_->at_work([this] { return work_rows(); });
       const auto serve = [this](std::unique_ptr<runtime_api::CommandServer>& to, bool trusted) {
         // Peers of the two sockets must not be taken for each other.
         to = std::make_unique<runtime_api::CommandServer>(
-            loop_, [this, trusted](std::uint64_t peer, const std::string& command, const std::string&) {
+            loop_,
+            [this, trusted](std::uint64_t peer, const std::string& command, const std::string&) {
               return operators_->handle(peer, trusted, command);
-            }, runtime_api::CommandServer::Limits{});
+            },
+            runtime_api::CommandServer::Limits{});
         to->on_gone([this](std::uint64_t peer) { operators_->gone(peer); });
       };
-      if (!s_.runtime.socket.empty()) serve(socket_, true), socket_->listen(s_.runtime.socket, s_.runtime.socket_mode);
+      if (!s_.runtime.socket.empty())
+        serve(socket_, true), socket_->listen(s_.runtime.socket, s_.runtime.socket_mode);
       if (s_.runtime.tcp) serve(tcp_, false), tcp_->listen(*s_.runtime.tcp);
       return true;
     } catch (const std::exception& fault) {
@@ -244,8 +276,12 @@
     runtime_api::Operators::Rows rows;
     const auto ms = [](Span span) { return fmt::format("{:.2f}", 1000 * span.seconds()); };
     for (const auto& c : background_->counters())
-      rows.push_back({{"task", c.name}, {"runs", std::to_string(c.runs)}, {"pieces", std::to_string(c.pieces)},
-                      {"longest_ms", ms(c.longest)}, {"latest_ms", ms(c.latest)}, {"all_s", fmt::format("{:.3f}", c.all.seconds())},
+      rows.push_back({{"task", c.name},
+                      {"runs", std::to_string(c.runs)},
+                      {"pieces", std::to_string(c.pieces)},
+                      {"longest_ms", ms(c.longest)},
+                      {"latest_ms", ms(c.latest)},
+                      {"all_s", fmt::format("{:.3f}", c.all.seconds())},
                       {"bytes", std::to_string(c.bytes)}});
     return rows;
   }
@@ -271,8 +307,9 @@
         }
       }
       // The wall clock, once: terms and starts have to grow from one life to the next.
-      const auto wall = static_cast<std::uint64_t>(
-          std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count());
+      const auto wall = static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(
+                                                       std::chrono::system_clock::now().time_since_epoch())
+                                                       .count());
       settings.shards = static_cast<std::size_t>(c.shards), settings.floor = {wall};
       settings.lease.length = c.lease, settings.lease.drift = c.drift;
       settings.lease.renew_before = c.lease * 0.67, settings.lease.ask_again = c.lease * 0.1;
@@ -286,15 +323,19 @@
             cluster_->receive(net::monotonic_now(), m);
             tick_cluster();
           },
-          [this](const std::string& from, const char* why) { say(true, "frame_dropped", {{"from", from}, {"why", why}}); });
-      log_.event(log::Level::info, "cluster_joined", {{"member", c.member}, {"members", std::to_string(c.members.size())}});
+          [this](const std::string& from, const char* why) {
+            say(true, "frame_dropped", {{"from", from}, {"why", why}});
+          });
+      log_.event(log::Level::info, "cluster_joined",
+                 {{"member", c.member}, {"members", std::to_string(c.members.size())}});
       if (operators_)
-        operators_->in_cluster([this] { return cluster_rows(); }, [this] {
-          const auto n = cluster_->hand_over_all(net::monotonic_now());
-          tick_cluster();
-          log_.event(log::Level::info, "handed_over", {{"shards", std::to_string(n)}});
-          return std::string{};
-        });
+        operators_->in_cluster([this] { return cluster_rows(); },
+                               [this] {
+                                 const auto n = cluster_->hand_over_all(net::monotonic_now());
+                                 tick_cluster();
+                                 log_.event(log::Level::info, "handed_over", {{"shards", std::to_string(n)}});
+                                 return std::string{};
+                               });
       tick_cluster();
       tell_cluster();
       return true;
@@ -310,12 +351,17 @@
     for (std::size_t k = 0; k < s_.cluster.members.size(); ++k) {
       const auto& [name, at] = s_.cluster.members[k];
       const auto standing = cluster_->standing({static_cast<std::uint16_t>(k)});
-      rows.push_back({{"kind", "member"}, {"name", name}, {"standing", standings[static_cast<std::size_t>(standing)]},
-                      {"at", at.text()}, {"term", name == s_.cluster.member ? "self" : "-"}});
+      rows.push_back({{"kind", "member"},
+                      {"name", name},
+                      {"standing", standings[static_cast<std::size_t>(standing)]},
+                      {"at", at.text()},
+                      {"term", name == s_.cluster.member ? "self" : "-"}});
     }
     for (const auto& [id, term] : part_->led())
-      rows.push_back({{"kind", "forwarder"}, {"name", s_.core.forwarders[id.value - coordinator::kFirstForwarder].name},
-                      {"standing", term ? "led here" : "led elsewhere"}, {"at", "shard " + std::to_string(shard_of(id).value)},
+      rows.push_back({{"kind", "forwarder"},
+                      {"name", s_.core.forwarders[id.value - coordinator::kFirstForwarder].name},
+                      {"standing", term ? "led here" : "led elsewhere"},
+                      {"at", "shard " + std::to_string(shard_of(id).value)},
                       {"term", term ? std::to_string(term->value) : "-"}});
     return rows;
   }
@@ -323,19 +369,23 @@
   void tick_cluster() {
     for (const auto& m : cluster_->tick(net::monotonic_now())) links_->send(m);
     loop_.cancel(cluster_wake_);
-    // Leases end by the clock: looked at often enough that a stream outlives its lease by little; may_order asks anew.
-    cluster_wake_ = loop_.at(std::min(cluster_->wake_at(), loop_.now() + Span::seconds(0.05)), [this] { tick_cluster(); });
+    // Leases end by the clock: looked at often enough that a stream outlives its lease by little; may_order
+    // asks anew.
+    cluster_wake_ = loop_.at(std::min(cluster_->wake_at(), loop_.now() + Span::seconds(0.05)),
+                             [this] { tick_cluster(); });
     follow(part_->look(net::monotonic_now(), s_.core));
   }
 
   void follow(shared_fleet::Turn turn) {
-    if (turn.recalled > 0) log_.event(log::Level::info, "recalled", {{"facts", std::to_string(turn.recalled)}});
+    if (turn.recalled > 0)
+      log_.event(log::Level::info, "recalled", {{"facts", std::to_string(turn.recalled)}});
     for (auto& input : turn.inputs) take(std::move(input));
     for (const auto& lead : turn.leads) {
       if (lead.now.has_value() != lead.before.has_value())
-        log_.event(log::Level::info, lead.now ? "leads" : "leads_no_more",
-                   {{"forwarder", s_.core.forwarders[lead.forwarder.value - coordinator::kFirstForwarder].name},
-                    {"term", std::to_string((lead.now ? lead.now : lead.before)->value)}});
+        log_.event(
+            log::Level::info, lead.now ? "leads" : "leads_no_more",
+            {{"forwarder", s_.core.forwarders[lead.forwarder.value - coordinator::kFirstForwarder].name},
+             {"term", std::to_string((lead.now ? lead.now : lead.before)->value)}});
       driver_.lead(lead.forwarder, lead.now ? std::optional{lead.now->value} : std::nullopt);
     }
   }
@@ -363,7 +413,8 @@
     for (const auto& m : effects.messages) records_.message(m);
     for (const auto& d : effects.deliveries) driver_.deliver(d.forwarder, d.table);
     answers_ = effects.answers;
-    for (const auto& n : effects.notes) say(n.weight == coordinator::Note::Weight::warning, n.event, n.fields);
+    for (const auto& n : effects.notes)
+      say(n.weight == coordinator::Note::Weight::warning, n.event, n.fields);
     loop_.cancel(wake_);
     wake_ = loop_.at(effects.wake_at, [this] { step(); });
   }
@@ -391,7 +442,8 @@
       const std::size_t n = look.entries ? look.entries->size() : 0;
       // An unchanged file is nothing to wake the loop for.
       if (look.entries || !look.faults.empty())
-        loop_.post([this, look = std::make_shared<RosterFile::Look>(std::move(look))] { heed(std::move(*look)); });
+        loop_.post(
+            [this, look = std::make_shared<RosterFile::Look>(std::move(look))] { heed(std::move(*look)); });
       return background::Piece{n, true};
     });
   }
@@ -408,8 +460,10 @@
     }
     // What the module was started with can't change under it; saying so beats doing half of it.
     if (config::fixed_part(fresh) != config::fixed_part(s_))
-      log_.event(log::Level::warning, "reload_partial",
-                 {{"why", "zones, operations, rules, channel, dns names and listen need a restart; kept as they were"}});
+      log_.event(
+          log::Level::warning, "reload_partial",
+          {{"why",
+            "zones, operations, rules, channel, dns names and listen need a restart; kept as they were"}});
     if (frames_) {
       // Keys rotate without a stop: all of the new ring open, its last one seals.
       try {
@@ -524,11 +578,14 @@
   const auto settings = load(config, findings);
   if (!settings) return kBadSettings;
   std::size_t path = 0, value = 0;
-  for (const auto& v : findings.values) path = std::max(path, v.path.size()), value = std::max(value, v.value.size());
+  for (const auto& v : findings.values)
+    path = std::max(path, v.path.size()), value = std::max(value, v.value.size());
   for (const auto& v : findings.values)
     std::printf("%s\n", fmt::format("{:<{}}  {:<{}}  {}", v.path, path, v.value, value, v.source).c_str());
-  std::printf("%s\n", fmt::format("{:<{}}  {:<{}}  worked out: half of drain_grace less use_after", "answer lifetime", path,
-                                  config::span_text(coordinator::answer_lifetime(settings->core)), value).c_str());
+  std::printf("%s\n",
+              fmt::format("{:<{}}  {:<{}}  worked out: half of drain_grace less use_after", "answer lifetime",
+                          path, config::span_text(coordinator::answer_lifetime(settings->core)), value)
+                  .c_str());
   return kWell;
 }
 
--- a/src/app/simulate.cpp
+++ b/src/app/simulate.cpp
@@ -27,32 +27,40 @@
   return v[std::min(v.size() - 1, static_cast<std::size_t>(part * static_cast<double>(v.size())))];
 }
 
-// Of a fault's beginning or end: how long till the service of three seconds is back at 0.98 of that of the ten before the
-// first, and stays there till the next one.
+// Of a fault's beginning or end: how long till the service of three seconds is back at 0.98 of that of the
+// ten before the first, and stays there till the next one.
 std::string back_after(const script::Day& day, const std::vector<std::optional<lab::Outcome>>& outcomes) {
   std::vector<std::pair<double, double>> seconds;
   for (const auto& o : outcomes) {
     seconds.resize(std::max(seconds.size(), o->by_second.size()));
-    for (std::size_t k = 0; k < o->by_second.size(); ++k) seconds[k].first += o->by_second[k].first, seconds[k].second += o->by_second[k].second;
+    for (std::size_t k = 0; k < o->by_second.size(); ++k)
+      seconds[k].first += o->by_second[k].first, seconds[k].second += o->by_second[k].second;
   }
   std::vector<std::pair<double, std::string>> events;
-  for (const auto& t : day.troubles) events.emplace_back(t.at.seconds(), t.name), events.emplace_back((t.at + t.lasts).seconds(), t.name + " is over");
+  for (const auto& t : day.troubles)
+    events.emplace_back(t.at.seconds(), t.name),
+        events.emplace_back((t.at + t.lasts).seconds(), t.name + " is over");
   std::sort(events.begin(), events.end());
   const double end = (day.length - day.settle).seconds();
   const auto service = [&](double from, double to) {
     double asked = 0, in_time = 0;
-    for (auto k = static_cast<std::size_t>(std::max(0.0, from)); k < std::min(seconds.size(), static_cast<std::size_t>(to)); ++k) asked += seconds[k].first, in_time += seconds[k].second;
+    for (auto k = static_cast<std::size_t>(std::max(0.0, from));
+         k < std::min(seconds.size(), static_cast<std::size_t>(to)); ++k)
+      asked += seconds[k].first, in_time += seconds[k].second;
     return asked > 0 ? in_time / asked : 1;
   };
   std::string text;
   if (events.empty() || events.front().first < 3) return text;
   const double before = service(events.front().first - 10, events.front().first);
   for (std::size_t k = 0; k < events.size(); ++k) {
-    const double from = events[k].first, to = std::min(end, k + 1 < events.size() ? events[k + 1].first : end);
+    const double from = events[k].first,
+                 to = std::min(end, k + 1 < events.size() ? events[k + 1].first : end);
     double back = 0;
     for (double t = from; t + 3 <= to; ++t)
       if (service(t, t + 3) < 0.98 * before) back = t + 3 - from;
-    if (to - from >= 3) text += fmt::format("  back at 0.98 of before ({:.3f}) after {:<24} {:>5}\n", before, events[k].second, back + 3 > to - from ? "never" : fmt::format("{:.0f} s", back));
+    if (to - from >= 3)
+      text += fmt::format("  back at 0.98 of before ({:.3f}) after {:<24} {:>5}\n", before, events[k].second,
+                          back + 3 > to - from ? "never" : fmt::format("{:.0f} s", back));
   }
   return text;
 }
@@ -67,12 +75,15 @@
   faults.insert(faults.end(), findings.faults.begin(), findings.faults.end());
   for (const auto& f : faults) std::fprintf(stderr, "%s\n", f.text().c_str());
   if (!faults.empty()) return kBadSettings;
-  const std::map<std::string, lab::Decider> deciders{{"module", lab::Decider::module}, {"equal", lab::Decider::fixed_weights},
-                                                     {"zone-local", lab::Decider::zone_local}, {"oracle", lab::Decider::oracle}};
+  const std::map<std::string, lab::Decider> deciders{{"module", lab::Decider::module},
+                                                     {"equal", lab::Decider::fixed_weights},
+                                                     {"zone-local", lab::Decider::zone_local},
+                                                     {"oracle", lab::Decider::oracle}};
   std::vector<lab::Override> changes;
   try {
     for (const auto& change : o.changes) changes.push_back(lab::read_override(change));
-    for (std::size_t n = 1; n <= day.coordinators.size(); ++n) static_cast<void>(lab::settings_for(day, n, "", changes));  // faults now
+    for (std::size_t n = 1; n <= day.coordinators.size(); ++n)
+      static_cast<void>(lab::settings_for(day, n, "", changes));  // faults now
   } catch (const std::exception& fault) {
     std::fprintf(stderr, "gorsemount: %s\n", fault.what());
     return kBadSettings;
@@ -102,13 +113,17 @@
   const double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
   std::vector<double> service, worst, unled;
   double bare = 0, drained = 0, cold = 0, waiting = 0;
-  std::uint64_t broken = 0, lower = 0, refused = 0, takeovers = 0, half = 0, bytes = 0, tries = 0, crossings = 0, further = 0;
+  std::uint64_t broken = 0, lower = 0, refused = 0, takeovers = 0, half = 0, bytes = 0, tries = 0,
+                crossings = 0, further = 0;
   for (const auto& r : outcomes) {
     service.push_back(r->whole.service()), worst.push_back(r->worst_ten());
     unled.insert(unled.end(), r->unled.begin(), r->unled.end());
-    bare = std::max(bare, r->bare), drained = std::max(drained, r->drained_sent), cold = std::max(cold, r->cold_brought);
-    waiting = std::max(waiting, r->waiting), broken += r->broken(day).empty() ? 0 : 1, lower += r->lower_terms;
-    refused += r->terms_refused, takeovers += r->takeovers, half += r->half_changes, bytes += r->cluster_bytes;
+    bare = std::max(bare, r->bare), drained = std::max(drained, r->drained_sent),
+    cold = std::max(cold, r->cold_brought);
+    waiting = std::max(waiting, r->waiting), broken += r->broken(day).empty() ? 0 : 1,
+    lower += r->lower_terms;
+    refused += r->terms_refused, takeovers += r->takeovers, half += r->half_changes,
+        bytes += r->cluster_bytes;
     tries += r->tries, crossings += r->crossings, further += r->further_tries;
   }
   const double mean = [&] {
@@ -117,16 +132,24 @@
     return sum / static_cast<double>(service.size());
   }();
   const double simulated = day.length.seconds() * static_cast<double>(o.seeds);
-  std::printf("%s\n", fmt::format("{} runs of {:.0f} s, {:.1f} simulated seconds a second", o.seeds, day.length.seconds(), simulated / took).c_str());
+  std::printf("%s\n", fmt::format("{} runs of {:.0f} s, {:.1f} simulated seconds a second", o.seeds,
+                                  day.length.seconds(), simulated / took)
+                          .c_str());
   const auto row = [](const char* what, double value, const std::string& more) {
     std::printf("%s\n", fmt::format("  {:<46} {:>10.4f}  {}", what, value, more).c_str());
   };
-  row("service, mean of the runs", mean, fmt::format("lowest {:.4f}", *std::min_element(service.begin(), service.end())));
+  row("service, mean of the runs", mean,
+      fmt::format("lowest {:.4f}", *std::min_element(service.begin(), service.end())));
   lab::Tally all;
   for (const auto& r : outcomes) all.add(r->whole);
-  const auto part = [&](std::uint64_t n) { return 100 * static_cast<double>(n) / static_cast<double>(std::max<std::uint64_t>(1, all.invocations)); };
-  std::printf("%s\n", fmt::format("  of invocations: late {:.2f}%, errored {:.2f}%, rate-limited {:.2f}%, no line {:.2f}%", part(all.late),
-                                  part(all.errored), part(all.limited), part(all.no_line)).c_str());
+  const auto part = [&](std::uint64_t n) {
+    return 100 * static_cast<double>(n) / static_cast<double>(std::max<std::uint64_t>(1, all.invocations));
+  };
+  std::printf(
+      "%s\n",
+      fmt::format("  of invocations: late {:.2f}%, errored {:.2f}%, rate-limited {:.2f}%, no line {:.2f}%",
+                  part(all.late), part(all.errored), part(all.limited), part(all.no_line))
+          .c_str());
   std::vector<lab::Tally> tens;
   for (const auto& r : outcomes) {
     tens.resize(std::max(tens.size(), r->by_ten.size()));
@@ -142,25 +165,34 @@
       for (const auto& r : outcomes)
         for (const auto& m : r->moments)
           if (m.at > 10.0 * static_cast<double>(ten) && m.at <= 10.0 * static_cast<double>(ten + 1))
-            for (std::size_t y = 0; y < m.zone_tries.size(); ++y) every += m.zone_tries[y], own += y == z ? m.zone_tries[y] : 0;
+            for (std::size_t y = 0; y < m.zone_tries.size(); ++y)
+              every += m.zone_tries[y], own += y == z ? m.zone_tries[y] : 0;
       parts += fmt::format(" {:.3f}", every > 0 ? own / every : 0);
     }
     std::printf("%s\n", fmt::format("  part of {} by 10 s:{}", day.zones[z], parts).c_str());
   }
-  row("worst 10 s, mean of the runs", [&] {
-    double sum = 0;
-    for (const double v : worst) sum += v;
-    return sum / static_cast<double>(worst.size());
-  }(), fmt::format("lowest {:.4f}", *std::min_element(worst.begin(), worst.end())));
+  row(
+      "worst 10 s, mean of the runs",
+      [&] {
+        double sum = 0;
+        for (const double v : worst) sum += v;
+        return sum / static_cast<double>(worst.size());
+      }(),
+      fmt::format("lowest {:.4f}", *std::min_element(worst.begin(), worst.end())));
   row("1 nobody to pick, s", bare, fmt::format("of {:.1f}", day.unserved.seconds()));
   row("3 sent to a draining worker, s after", drained, fmt::format("of {:.1f}", day.drain_grace.seconds()));
   row("4 brought to a cold worker, times its capacity", cold, fmt::format("of {:.1f}", day.tip_multiple));
   row("5 lines waiting", waiting, fmt::format("of {:.0f}", day.backlog));
-  row("crossings, of tries", tries > 0 ? static_cast<double>(crossings) / static_cast<double>(tries) : 0, fmt::format("{} tries, {} of them further ones", tries, further));
+  row("crossings, of tries", tries > 0 ? static_cast<double>(crossings) / static_cast<double>(tries) : 0,
+      fmt::format("{} tries, {} of them further ones", tries, further));
   if (day.shared) {
-    row("unled, s, middle", quantile(unled, 0.5), fmt::format("p99 {:.3f}, longest {:.3f}, of {}; lease {:.1f}", quantile(unled, 0.99), quantile(unled, 1), unled.size(), day.lease.seconds()));
-    row("orders of a lower term obeyed", static_cast<double>(lower), fmt::format("{} refused, {} take-overs, {} changes cut in two", refused, takeovers, half));
-    row("bytes a second between controllers", static_cast<double>(bytes) / simulated, fmt::format("{} controllers", day.coordinators.size()));
+    row("unled, s, middle", quantile(unled, 0.5),
+        fmt::format("p99 {:.3f}, longest {:.3f}, of {}; lease {:.1f}", quantile(unled, 0.99),
+                    quantile(unled, 1), unled.size(), day.lease.seconds()));
+    row("orders of a lower term obeyed", static_cast<double>(lower),
+        fmt::format("{} refused, {} take-overs, {} changes cut in two", refused, takeovers, half));
+    row("bytes a second between controllers", static_cast<double>(bytes) / simulated,
+        fmt::format("{} controllers", day.coordinators.size()));
   }
   double moved = 0;
   for (const auto& r : outcomes) moved += r->moved / static_cast<double>(outcomes.size());
--- a/src/app/store.cpp
+++ b/src/app/store.cpp
@@ -23,7 +23,8 @@
   store::Key key{};
   std::size_t size = 0;
   const char* end = nullptr;
-  if (sodium_hex2bin(key.data(), key.size(), text.data(), text.size(), nullptr, &size, &end) != 0 || size != key.size() || end != text.data() + text.size())
+  if (sodium_hex2bin(key.data(), key.size(), text.data(), text.size(), nullptr, &size, &end) != 0 ||
+      size != key.size() || end != text.data() + text.size())
     throw std::runtime_error{file + ": expected 64 hex digits"};
   return key;
 }
@@ -32,7 +33,9 @@
   recovery::Clocks c;
   std::ifstream{"/proc/sys/kernel/random/boot_id"} >> c.boot;
   c.mono = (net::monotonic_now() - Instant{}).micros();
-  c.wall = std::chrono::duration_cast<std::chrono::microseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
+  c.wall = std::chrono::duration_cast<std::chrono::microseconds>(
+               std::chrono::system_clock::now().time_since_epoch())
+               .count();
   return c;
 }
 
@@ -51,8 +54,10 @@
     if (o.action == "verify") {
       bool good = true;
       for (const auto& c : store::verify(*disk, s)) {
-        std::printf("%s\n", fmt::format("{}: {} records, {} of {} bytes good, snapshot {}{}{}", c.file, c.records, c.good, c.bytes, c.whole_snapshot ? "whole" : "NOT WHOLE",
-                                        c.fault.empty() ? "" : "; ", c.fault).c_str());
+        std::printf("%s\n", fmt::format("{}: {} records, {} of {} bytes good, snapshot {}{}{}", c.file,
+                                        c.records, c.good, c.bytes, c.whole_snapshot ? "whole" : "NOT WHOLE",
+                                        c.fault.empty() ? "" : "; ", c.fault)
+                                .c_str());
         good = good && c.fault.empty() && c.whole_snapshot;
       }
       return good ? kWell : kBadSettings;
@@ -66,21 +71,33 @@
     }
     const bool json = o.action == "export";
     if (!json)
-      std::printf("%s\n", fmt::format("generation {}, {} facts, last known to hold {} ago{}", loaded.generation, loaded.entries.size(),
-                                      loaded.age.span ? config::span_text(*loaded.age.span) : "an unknown time", loaded.age.doubt.empty() ? "" : "; " + loaded.age.doubt).c_str());
+      std::printf("%s\n",
+                  fmt::format("generation {}, {} facts, last known to hold {} ago{}", loaded.generation,
+                              loaded.entries.size(),
+                              loaded.age.span ? config::span_text(*loaded.age.span) : "an unknown time",
+                              loaded.age.doubt.empty() ? "" : "; " + loaded.age.doubt)
+                      .c_str());
     constexpr const char* weights[] = {"acts", "hint", "nothing"};
     for (const auto& e : loaded.entries) {
-      const auto weight = loaded.age.span ? recovery::weigh(e.subject.kind, *loaded.age.span) : recovery::Weight::hint;
+      const auto weight =
+          loaded.age.span ? recovery::weigh(e.subject.kind, *loaded.age.span) : recovery::Weight::hint;
       if (json) {
-        nlohmann::json j{{"kind", recovery::name_of(e.subject.kind)}, {"name", e.subject.name}, {"machine", e.fact.instance}, {"figures", e.fact.figures},
+        nlohmann::json j{{"kind", recovery::name_of(e.subject.kind)},
+                         {"name", e.subject.name},
+                         {"machine", e.fact.instance},
+                         {"figures", e.fact.figures},
                          {"weight", weights[static_cast<int>(weight)]}};
-        for (const auto& [name, t] : e.fact.times) j["times_s"][name] = (t - Instant{} - Span::micros(now.mono)).seconds();
+        for (const auto& [name, t] : e.fact.times)
+          j["times_s"][name] = (t - Instant{} - Span::micros(now.mono)).seconds();
         std::printf("%s\n", j.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace).c_str());
       } else {
         std::string figures;
         for (const auto& [name, value] : e.fact.figures) figures += fmt::format(" {}={:.4g}", name, value);
-        for (const auto& [name, t] : e.fact.times) figures += fmt::format(" {}={:+.1f}s", name, (t - Instant{} - Span::micros(now.mono)).seconds());
-        std::printf("%s\n", fmt::format("  {:<8} {:<15} {:<24}{}", weights[static_cast<int>(weight)], recovery::name_of(e.subject.kind), e.subject.name, figures).c_str());
+        for (const auto& [name, t] : e.fact.times)
+          figures += fmt::format(" {}={:+.1f}s", name, (t - Instant{} - Span::micros(now.mono)).seconds());
+        std::printf("%s\n", fmt::format("  {:<8} {:<15} {:<24}{}", weights[static_cast<int>(weight)],
+                                        recovery::name_of(e.subject.kind), e.subject.name, figures)
+                                .c_str());
       }
     }
     return kWell;
--- a/src/background/background.hpp
+++ b/src/background/background.hpp
@@ -1,5 +1,5 @@
-// Two threads that do a program's background work in the scheduler's order: writing, snapshots, checks, recording,
-// reading files that changed. Whoever answers hands over and goes on.
+// Two threads that do a program's background work in the scheduler's order: writing, snapshots, checks,
+// recording, reading files that changed. Whoever answers hands over and goes on.
 #pragma once
 
 #include <condition_variable>
@@ -26,11 +26,12 @@
   Background(const Background&) = delete;
   Background& operator=(const Background&) = delete;
 
-  // `work` is called from a thread of ours, never from two at a time. What it throws ends the program: a task knows best
-  // what a fault of its means.
+  // `work` is called from a thread of ours, never from two at a time. What it throws ends the program: a task
+  // knows best what a fault of its means.
   TaskId add(Task task, Work work);
   void ask_for(TaskId task);
-  // Never called again from here on; waits for a piece that is under way. Not from within the task's own work.
+  // Never called again from here on; waits for a piece that is under way. Not from within the task's own
+  // work.
   void remove(TaskId task);
   [[nodiscard]] std::vector<Scheduler::Counters> counters() const;
 
--- a/src/background/scheduler.cpp
+++ b/src/background/scheduler.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Guards against a task that others crowd out for ever: each such wait raises it by one, though never to a promise. Ten
-// times the usual second between pieces of the busiest.
+// Guards against a task that others crowd out for ever: each such wait raises it by one, though never to a
+// promise. Ten times the usual second between pieces of the busiest.
 const Span kPatience = Span::seconds(10);
 
 }  // namespace
@@ -37,7 +37,9 @@
 int Scheduler::rank(const Row& r, Instant now) {
   const Instant since = std::max(r.due, r.free_at);
   const auto waits = (now - since).micros() / kPatience.micros();
-  return r.task.priority == 0 ? 0 : std::max(1, r.task.priority - static_cast<int>(std::min<std::int64_t>(waits, 1000)));
+  return r.task.priority == 0
+             ? 0
+             : std::max(1, r.task.priority - static_cast<int>(std::min<std::int64_t>(waits, 1000)));
 }
 
 std::optional<TaskId> Scheduler::next(Instant now, Lane lane) const {
@@ -67,7 +69,8 @@
   Row& r = row(task);
   r.running = false, r.underway = !done;
   Counters& c = r.counters;
-  ++c.pieces, c.runs += done ? 1 : 0, c.bytes += bytes, c.longest = std::max(c.longest, took), c.all = c.all + took;
+  ++c.pieces, c.runs += done ? 1 : 0, c.bytes += bytes, c.longest = std::max(c.longest, took),
+                                                        c.all = c.all + took;
   if (!done || r.asked) {
     r.due = now;
   } else {
@@ -75,14 +78,16 @@
   }
   Span rest = took * (1 / r.task.share - 1);
   if (r.task.bytes_a_second > 0)
-    rest = std::max(rest, Span::seconds(static_cast<double>(bytes) / static_cast<double>(r.task.bytes_a_second)));
+    rest = std::max(rest,
+                    Span::seconds(static_cast<double>(bytes) / static_cast<double>(r.task.bytes_a_second)));
   r.free_at = std::max(r.free_at, now) + rest;
 }
 
 Instant Scheduler::wake_at(Instant now, Lane lane) const {
   Instant at = Instant{} + Span::micros(INT64_MAX);
   for (const auto& r : rows_)
-    if (const auto ready_at = ready(r); ready_at && fits(r, lane)) at = std::min(at, std::max(now, *ready_at));
+    if (const auto ready_at = ready(r); ready_at && fits(r, lane))
+      at = std::min(at, std::max(now, *ready_at));
   return at;
 }
 
--- a/src/background/scheduler.hpp
+++ b/src/background/scheduler.hpp
@@ -1,6 +1,6 @@
-// Decides which piece of background work runs next, and on which lane: by priority among what is due, within budgets of
-// time and of bytes, so that nothing of it delays what people wait for. Free of clocks and threads: the caller says when
-// it asks and what a piece took.
+// Decides which piece of background work runs next, and on which lane: by priority among what is due, within
+// budgets of time and of bytes, so that nothing of it delays what people wait for. Free of clocks and
+// threads: the caller says when it asks and what a piece took.
 #pragma once
 
 #include <cstdint>
@@ -17,13 +17,14 @@
 
 struct Task {
   std::string name;
-  int priority = 0;                  // lower goes first; 0: what is promised by a deadline
-  Span every;                        // from the end of one to the beginning of the next; zero: whenever it is asked for
+  int priority = 0;  // lower goes first; 0: what is promised by a deadline
+  Span every;        // from the end of one to the beginning of the next; zero: whenever it is asked for
   std::uint64_t bytes_a_second = 0;  // 0: any
   double share = 1;                  // of a second, each second, that it may run; above 0
 };
-// The prompt lane takes priority 0 and nothing else, so that a disk that hangs under a verification never holds up a
-// write that is promised; the other takes what is left over, and priority 0 too where the prompt one is busy.
+// The prompt lane takes priority 0 and nothing else, so that a disk that hangs under a verification never
+// holds up a write that is promised; the other takes what is left over, and priority 0 too where the prompt
+// one is busy.
 enum class Lane { prompt, common };
 
 class Scheduler {
@@ -42,9 +43,9 @@
   struct Counters {
     std::string name;
     std::uint64_t pieces = 0, runs = 0, bytes = 0;
-    Span longest;   // piece
-    Span latest;    // beyond when it was due, and had budget, till a piece began
-    Span all;       // time that it ran
+    Span longest;  // piece
+    Span latest;   // beyond when it was due, and had budget, till a piece began
+    Span all;      // time that it ran
   };
   [[nodiscard]] Counters counters(TaskId task) const { return row(task).counters; }
   [[nodiscard]] std::vector<Counters> all() const;  // of those that are still there
@@ -60,7 +61,9 @@
   [[nodiscard]] const Row& row(TaskId task) const { return rows_.at(task.value); }
   [[nodiscard]] static std::optional<Instant> ready(const Row& row);  // empty: not before it is asked for
   [[nodiscard]] static int rank(const Row& row, Instant now);
-  [[nodiscard]] static bool fits(const Row& row, Lane lane) { return lane == Lane::common || row.task.priority == 0; }
+  [[nodiscard]] static bool fits(const Row& row, Lane lane) {
+    return lane == Lane::common || row.task.priority == 0;
+  }
   std::vector<Row> rows_;
 };
 
--- a/src/cluster/cluster.hpp
+++ b/src/cluster/cluster.hpp
@@ -25,7 +25,8 @@
   Cluster(ClusterSettings settings, Instant now)
       : shards_{settings.shards},
         membership_{settings.self, settings.members, settings.membership, settings.seed, now},
-        leases_{settings.self, settings.members, settings.shards, with_members(settings), now, settings.floor},
+        leases_{settings.self, settings.members, settings.shards, with_members(settings),
+                now,           settings.floor},
         replication_{settings.self, settings.members, settings.floor.value} {}
 
   void receive(Instant now, const Message& message) {
@@ -47,7 +48,9 @@
   }
 
   [[nodiscard]] ShardId shard_of(const std::string& forwarder) const;
-  [[nodiscard]] std::optional<Term> leads(ShardId shard, Instant now) const { return leases_.leads(shard, now); }
+  [[nodiscard]] std::optional<Term> leads(ShardId shard, Instant now) const {
+    return leases_.leads(shard, now);
+  }
   [[nodiscard]] std::size_t shards() const { return shards_; }
   [[nodiscard]] Standing standing(MemberId member) const { return membership_.standing(member); }
   void keep(bool on) { leases_.keep(on); }
--- a/src/cluster/frames.cpp
+++ b/src/cluster/frames.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-// length u16 | key u8 | to u16 | from u16 | start u64 | counter u64 | kind u8 | body | rumours u8 | each 11 | MAC
+// length u16 | key u8 | to u16 | from u16 | start u64 | counter u64 | kind u8 | body | rumours u8 | each 11 |
+// MAC
 constexpr std::size_t kMac = crypto_auth_hmacsha512256_BYTES;
 constexpr std::size_t kHead = 2 + 1 + 2 + 2 + 8 + 8 + 1;
 constexpr std::size_t kRumoursMost = 64;
@@ -21,7 +22,8 @@
  public:
   template <class Int>
   void put(Int v) {
-    for (std::size_t k = sizeof v; k-- > 0;) bytes.push_back(static_cast<char>(static_cast<std::uint64_t>(v) >> 8U * k));
+    for (std::size_t k = sizeof v; k-- > 0;)
+      bytes.push_back(static_cast<char>(static_cast<std::uint64_t>(v) >> 8U * k));
   }
   std::string bytes;
 };
@@ -62,7 +64,8 @@
   if (const auto* ping = std::get_if<Ping>(&body)) out.put(ping->number);
   if (const auto* ack = std::get_if<Ack>(&body)) out.put(ack->number);
   if (const auto* help = std::get_if<PingFor>(&body)) out.put(help->of.value), out.put(help->number);
-  if (const auto* ask = std::get_if<AskVote>(&body)) out.put(ask->shard.value), out.put(ask->term.value), out.put(ask->number);
+  if (const auto* ask = std::get_if<AskVote>(&body))
+    out.put(ask->shard.value), out.put(ask->term.value), out.put(ask->number);
   if (const auto* vote = std::get_if<Vote>(&body)) {
     out.put(vote->shard.value), out.put(vote->term.value), out.put(vote->number);
     out.put(static_cast<std::uint8_t>(vote->granted));
@@ -81,8 +84,10 @@
   const auto u16 = [&] { return in.get<std::uint16_t>(); };
   const auto u64 = [&] { return in.get<std::uint64_t>(); };
   switch (kind) {
-    case 0: return Ping{u64()};
-    case 1: return Ack{u64()};
+    case 0:
+      return Ping{u64()};
+    case 1:
+      return Ack{u64()};
     case 2: {
       const MemberId of{u16()};
       return PingFor{of, u64()};
@@ -116,14 +121,16 @@
       heard.start = u64(), heard.upto = u64(), heard.at = static_cast<std::int64_t>(u64());
       return heard;
     }
-    default: return {};
+    default:
+      return {};
   }
 }
 
 }  // namespace
 
 const char* name_of(Drop drop) {
-  constexpr const char* names[] = {"too large", "cut off", "unknown key", "wrong MAC", "replayed", "not for us", "garbled"};
+  constexpr const char* names[] = {"too large", "cut off",    "unknown key", "wrong MAC",
+                                   "replayed",  "not for us", "garbled"};
   return names[static_cast<std::size_t>(drop)];
 }
 
@@ -144,7 +151,8 @@
     Key key{static_cast<std::uint8_t>(which), {}};
     std::size_t size = 0;
     const char* end = nullptr;
-    if (sodium_hex2bin(key.bytes.data(), key.bytes.size(), hex.data(), hex.size(), nullptr, &size, &end) != 0 ||
+    if (sodium_hex2bin(key.bytes.data(), key.bytes.size(), hex.data(), hex.size(), nullptr, &size, &end) !=
+            0 ||
         size != key.bytes.size() || end != hex.data() + hex.size())
       fail("expected 64 hex digits");  // never the digits themselves
     if (std::any_of(ring.begin(), ring.end(), [&](const Key& k) { return k.number == key.number; }))
@@ -168,7 +176,8 @@
 std::string Frames::seal(const Message& m) {
   Out out;
   out.put(std::uint16_t{0});
-  out.put(ring_.back().number), out.put(m.to.value), out.put(self_.value), out.put(start_), out.put(++counter_);
+  out.put(ring_.back().number), out.put(m.to.value), out.put(self_.value), out.put(start_),
+      out.put(++counter_);
   put_body(out, m.body);
   const std::size_t n = std::min(m.rumours.size(), kRumoursMost);
   out.put(static_cast<std::uint8_t>(n));
@@ -179,27 +188,31 @@
   const std::size_t size = out.bytes.size() + kMac;
   out.bytes[0] = static_cast<char>(size >> 8U), out.bytes[1] = static_cast<char>(size);
   std::array<std::uint8_t, kMac> mac{};
-  crypto_auth_hmacsha512256(mac.data(), reinterpret_cast<const std::uint8_t*>(out.bytes.data()), out.bytes.size(),
-                            ring_.back().bytes.data());
+  crypto_auth_hmacsha512256(mac.data(), reinterpret_cast<const std::uint8_t*>(out.bytes.data()),
+                            out.bytes.size(), ring_.back().bytes.data());
   out.bytes.append(reinterpret_cast<const char*>(mac.data()), mac.size());
   return std::move(out.bytes);
 }
 
 std::optional<std::size_t> Frames::length(std::string_view bytes) {
   if (bytes.size() < 2) return {};
-  return static_cast<std::size_t>(static_cast<std::uint8_t>(bytes[0])) << 8U | static_cast<std::uint8_t>(bytes[1]);
+  return static_cast<std::size_t>(static_cast<std::uint8_t>(bytes[0])) << 8U |
+         static_cast<std::uint8_t>(bytes[1]);
 }
 
 std::variant<Message, Drop> Frames::open(std::string_view frame) {
   const auto said = length(frame);
   if (said && *said > kFrameMost) return Drop::too_large;
   if (!said || *said != frame.size() || frame.size() < kHead + 1 + kMac) return Drop::cut_off;
-  const auto key = std::find_if(ring_.begin(), ring_.end(), [&](const Key& k) { return k.number == static_cast<std::uint8_t>(frame[2]); });
+  const auto key = std::find_if(ring_.begin(), ring_.end(), [&](const Key& k) {
+    return k.number == static_cast<std::uint8_t>(frame[2]);
+  });
   if (key == ring_.end()) return Drop::unknown_key;
   // Nothing of it is believed before its MAC is.
   const std::string_view text = frame.substr(0, frame.size() - kMac);
   if (crypto_auth_hmacsha512256_verify(reinterpret_cast<const std::uint8_t*>(frame.data() + text.size()),
-                                       reinterpret_cast<const std::uint8_t*>(text.data()), text.size(), key->bytes.data()) != 0)
+                                       reinterpret_cast<const std::uint8_t*>(text.data()), text.size(),
+                                       key->bytes.data()) != 0)
     return Drop::wrong_mac;
   In in{text.substr(3)};
   Message m;
--- a/src/cluster/frames.hpp
+++ b/src/cluster/frames.hpp
@@ -27,8 +27,8 @@
 enum class Drop { too_large, cut_off, unknown_key, wrong_mac, replayed, not_for_us, garbled };
 [[nodiscard]] const char* name_of(Drop drop);
 
-// A key file: lines of `NUMBER HEX`, 64 hex digits each; the last line is the newest key. Comments begin with #.
-// Throws std::runtime_error with the line if it is none, or if a number is there twice.
+// A key file: lines of `NUMBER HEX`, 64 hex digits each; the last line is the newest key. Comments begin with
+// #. Throws std::runtime_error with the line if it is none, or if a number is there twice.
 [[nodiscard]] std::vector<Key> read_keys(std::string_view text);
 
 class Frames {
@@ -49,8 +49,8 @@
   MemberId self_;
   std::uint64_t start_, counter_ = 0;
   std::vector<Key> ring_;
-  // Of each sender, its newest start and the frames of it that were seen: streams keep order, but a member may
-  // hold two streams for a moment, so a window is kept and not one number.
+  // Of each sender, its newest start and the frames of it that were seen: streams keep order, but a member
+  // may hold two streams for a moment, so a window is kept and not one number.
   struct Seen {
     std::uint64_t start = 0, highest = 0, window = 0;  // window: bit k: highest - k was seen
   };
--- a/src/cluster/leases.cpp
+++ b/src/cluster/leases.cpp
@@ -10,11 +10,12 @@
 
 namespace {
 
-// After a hand-over the old leader stands back this many lease lengths, so that the new one surely asks first.
+// After a hand-over the old leader stands back this many lease lengths, so that the new one surely asks
+// first.
 constexpr double kStandBack = 1.0;
 
-// For balance one shard moves in so many lease lengths, so that a member that comes back does not unsettle all
-// forwarders at once.
+// For balance one shard moves in so many lease lengths, so that a member that comes back does not unsettle
+// all forwarders at once.
 constexpr double kMoveEvery = 1.0;
 
 std::uint64_t weight(ShardId shard, MemberId member) {
@@ -40,7 +41,8 @@
   for (std::size_t k = 0; k < shards; ++k) {
     const ShardId shard{static_cast<std::uint16_t>(k)};
     std::vector<MemberId> order = alive;
-    std::sort(order.begin(), order.end(), [&](MemberId a, MemberId b) { return weight(shard, a) > weight(shard, b); });
+    std::sort(order.begin(), order.end(),
+              [&](MemberId a, MemberId b) { return weight(shard, a) > weight(shard, b); });
     const auto fit = std::find_if(order.begin(), order.end(), [&](MemberId m) { return load[m] < most; });
     given[shard] = fit == order.end() ? order.front() : *fit;
     ++load[given[shard]];
@@ -48,8 +50,8 @@
   return given;
 }
 
-Leases::Leases(MemberId self, std::vector<MemberId> others, std::size_t shards, LeaseSettings settings, Instant now,
-               Term floor)
+Leases::Leases(MemberId self, std::vector<MemberId> others, std::size_t shards, LeaseSettings settings,
+               Instant now, Term floor)
     : self_{self},
       others_{std::move(others)},
       shards_{shards},
@@ -89,10 +91,11 @@
   Term& seen = highest_[shard];
   const auto it = promises_.find(shard);
   const bool bound = it != promises_.end() && now < it->second.until;
-  // To the one that has its word already it may be given again, under this term or a later one: a candidate that
-  // missed its majority by a lost vote must not lock itself out.
+  // To the one that has its word already it may be given again, under this term or a later one: a candidate
+  // that missed its majority by a lost vote must not lock itself out.
   const bool same = it != promises_.end() && it->second.holder == to && term >= it->second.term;
-  const bool may = now >= silent_until_ && ((bound && same) || (!bound && (term > seen || (same && term == seen))));
+  const bool may =
+      now >= silent_until_ && ((bound && same) || (!bound && (term > seen || (same && term == seen))));
   seen = std::max(seen, term);
   if (may) promises_[shard] = {term, to, now + s_.length * (1 + s_.drift)};
   return may;
@@ -128,12 +131,14 @@
     it->second.granted.insert(m.from);
     if (it->second.granted.size() * 2 > s_.members) {
       // One that was handed over meanwhile is not taken up again by a late vote.
-      if (const auto h = handed_.find(v->shard); h == handed_.end() || now >= h->second.second) won(v->shard, it->second);
+      if (const auto h = handed_.find(v->shard); h == handed_.end() || now >= h->second.second)
+        won(v->shard, it->second);
       asking_.erase(it);
     }
   } else if (const auto* g = std::get_if<GiveUp>(&m.body)) {
     const auto it = promises_.find(g->shard);
-    if (it != promises_.end() && it->second.holder == m.from && it->second.term == g->term) it->second.until = now;
+    if (it != promises_.end() && it->second.holder == m.from && it->second.term == g->term)
+      it->second.until = now;
   }
 }
 
@@ -145,15 +150,17 @@
   asking_.erase(shard);
   handed_[shard] = {to, now + s_.length * kStandBack};
   // Its word to itself and the others' word to it end here: nothing more is ordered under this term.
-  if (const auto own = promises_.find(shard); own != promises_.end() && own->second.holder == self_) own->second.until = now;
+  if (const auto own = promises_.find(shard); own != promises_.end() && own->second.holder == self_)
+    own->second.until = now;
   for (const auto other : others_) send(other, GiveUp{shard, term});
 }
 
 std::vector<Message> Leases::tick(Instant now, const std::vector<MemberId>& alive) {
   std::erase_if(handed_, [&](const auto& row) { return now >= row.second.second; });
   const auto wanted = assignment(shards_, alive);
-  // A word that ran out without being asked for again, or was handed back, says sooner than any ping that its holder
-  // does not lead: whoever is next without it may ask. If it leads all the same, the others' word stands against that.
+  // A word that ran out without being asked for again, or was handed back, says sooner than any ping that its
+  // holder does not lead: whoever is next without it may ask. If it leads all the same, the others' word
+  // stands against that.
   std::set<MemberId> silent;
   for (const auto& [shard, promise] : promises_)
     if (now >= promise.until && promise.holder != self_) silent.insert(promise.holder);
@@ -171,7 +178,8 @@
     if (asking != asking_.end() && now < asking->second.again) continue;
     bool mine = wanted.contains(shard) && wanted.at(shard) == self_;
     if (const auto now_held = held_.find(shard); now_held != held_.end()) {
-      // Another is to lead it, for balance: not while its end is far, and never while moves are to be kept off.
+      // Another is to lead it, for balance: not while its end is far, and never while moves are to be kept
+      // off.
       if (!mine && !keep_ && now >= next_move_ && now_held->second.until - now < s_.renew_before) {
         hand_over(now, shard, wanted.at(shard));
         next_move_ = now + s_.length * kMoveEvery;
@@ -182,7 +190,8 @@
       continue;
     }
     const auto promise = promises_.find(shard);
-    const bool bound = promise != promises_.end() && now < promise->second.until && promise->second.holder != self_;
+    const bool bound =
+        promise != promises_.end() && now < promise->second.until && promise->second.holder != self_;
     if (promise != promises_.end() && !bound && promise->second.holder != self_)
       mine = mine || (next.contains(shard) && next.at(shard) == self_);  // or two wait for each other
     if (bound) wake_ = std::min(wake_, promise->second.until);
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -15,8 +15,8 @@
 
 }  // namespace
 
-Membership::Membership(MemberId self, std::vector<MemberId> others, MembershipSettings settings, std::uint64_t seed,
-                       Instant now)
+Membership::Membership(MemberId self, std::vector<MemberId> others, MembershipSettings settings,
+                       std::uint64_t seed, Instant now)
     : self_{self}, s_{settings}, chance_{static_cast<std::uint32_t>(seed)}, next_ping_{now} {
   set_members(now, std::move(others));
   self_tells_ = tellings();
@@ -24,7 +24,9 @@
 
 void Membership::set_members(Instant now, std::vector<MemberId> others) {
   std::erase(others, self_);
-  std::erase_if(rows_, [&](const auto& row) { return std::find(others.begin(), others.end(), row.first) == others.end(); });
+  std::erase_if(rows_, [&](const auto& row) {
+    return std::find(others.begin(), others.end(), row.first) == others.end();
+  });
   // Unknown is alive at incarnation 0: whatever it says of itself counts for more.
   for (const auto member : others) rows_.try_emplace(member, Row{Standing::alive, 0, now, 0});
   if (probe_ && !rows_.contains(probe_->of)) probe_.reset();
@@ -36,7 +38,8 @@
 }
 
 Span Membership::patience() const {
-  return s_.ping_every * (s_.suspect_rounds * std::max(1.0, std::log2(static_cast<double>(rows_.size()) + 1)));
+  return s_.ping_every *
+         (s_.suspect_rounds * std::max(1.0, std::log2(static_cast<double>(rows_.size()) + 1)));
 }
 
 Standing Membership::standing(MemberId member) const {
@@ -87,7 +90,8 @@
     const auto it = rows_.find(r.member);
     if (it == rows_.end()) continue;
     Row& row = it->second;
-    const bool newer = r.incarnation > row.incarnation || (r.incarnation == row.incarnation && r.standing > row.standing);
+    const bool newer =
+        r.incarnation > row.incarnation || (r.incarnation == row.incarnation && r.standing > row.standing);
     if (!newer) continue;
     if (row.standing != r.standing) row.since = now;
     row.standing = r.standing, row.incarnation = r.incarnation;
--- a/src/cluster/membership.hpp
+++ b/src/cluster/membership.hpp
@@ -1,5 +1,6 @@
-// Decides who is alive: each member pings another in turn; one that does not answer is asked for by others, so
-// that one bad path condemns nobody; then it is suspected, and gone unless it speaks up with a new incarnation.
+// Decides who is alive: each member pings another in turn; one that does not answer is asked for by others,
+// so that one bad path condemns nobody; then it is suspected, and gone unless it speaks up with a new
+// incarnation.
 #pragma once
 
 #include <map>
@@ -15,12 +16,13 @@
   Span ping_every = Span::seconds(0.2);
   Span answer_within = Span::seconds(0.08);  // then others are asked
   int helpers = 3;
-  int suspect_rounds = 4;                    // times ping_every times the log of the size
+  int suspect_rounds = 4;  // times ping_every times the log of the size
 };
 
 class Membership {
  public:
-  Membership(MemberId self, std::vector<MemberId> others, MembershipSettings settings, std::uint64_t seed, Instant now);
+  Membership(MemberId self, std::vector<MemberId> others, MembershipSettings settings, std::uint64_t seed,
+             Instant now);
 
   void receive(Instant now, const Message& message);
   // What is due; call it by wake_at() and after each receive(). Messages to send.
--- a/src/cluster/replication.cpp
+++ b/src/cluster/replication.cpp
@@ -13,14 +13,16 @@
 
 namespace {
 
-constexpr std::size_t kBatch = 32;             // facts that are tried to be put into one message
-const Span kFollow = Span::seconds(3);         // a leader that was not heard for that long is not followed: six beats
+constexpr std::size_t kBatch = 32;  // facts that are tried to be put into one message
+const Span kFollow =
+    Span::seconds(3);  // a leader that was not heard for that long is not followed: six beats
 
 std::int64_t micros(Instant t) { return (t - Instant{}).micros(); }
 
 }  // namespace
 
-Replication::Replication(MemberId self, std::vector<MemberId> others, std::uint64_t start, ReplicationSettings settings)
+Replication::Replication(MemberId self, std::vector<MemberId> others, std::uint64_t start,
+                         ReplicationSettings settings)
     : self_{self}, s_{settings}, start_{std::max<std::uint64_t>(start, 1)} {
   for (const auto other : others)
     if (other != self_) peers_[other], copies_[other];
@@ -83,8 +85,8 @@
   const auto answer = [&] { send(from, Heard{copy.start, copy.upto, micros(now)}); };
   if (news.start < copy.start) return;  // of a life that is over
   if (news.start > copy.start) copy = {}, copy.start = news.start;
-  // A process that stood still, or a path that holds things back: what it says may long be otherwise. The answer
-  // tells the sender our clock, and the next word can be bounded.
+  // A process that stood still, or a path that holds things back: what it says may long be otherwise. The
+  // answer tells the sender our clock, and the next word can be bounded.
   if (news.echo == 0 || now - (Instant{} + Span::micros(news.echo)) > s_.late) {
     counters_.late += news.echo == 0 ? 0 : 1;
     return answer();
@@ -103,7 +105,8 @@
     }
   }
   copy.upto = news.upto, copy.last = news.last;
-  if (copy.whole()) copy.confirmed = std::max(copy.confirmed.value_or(Instant{}), Instant{} + Span::micros(news.echo));
+  if (copy.whole())
+    copy.confirmed = std::max(copy.confirmed.value_or(Instant{}), Instant{} + Span::micros(news.echo));
   copy.known.forget_gone(now, 0);
   answer();
 }
@@ -139,13 +142,15 @@
   return recovery::merge(std::move(sources));
 }
 
-std::optional<GroupTable> table_of(const std::map<MemberId, Replication::Copy>& copies, const std::string& group, Instant now) {
+std::optional<GroupTable> table_of(const std::map<MemberId, Replication::Copy>& copies,
+                                   const std::string& group, Instant now) {
   const Replication::Copy* leader = nullptr;
   const Entry* word = nullptr;
   for (const auto& [member, copy] : copies) {
     if (!copy.confirmed || now - *copy.confirmed > kFollow) continue;
     const auto it = copy.known.entries().find({Kind::group_table, group});
-    if (it == copy.known.entries().end() || it->second.gone || !it->second.fact.figures.contains("table")) continue;
+    if (it == copy.known.entries().end() || it->second.gone || !it->second.fact.figures.contains("table"))
+      continue;
     if (word != nullptr && word->learned >= it->second.learned) continue;
     leader = &copy, word = &it->second;
   }
--- a/src/cluster/replication.hpp
+++ b/src/cluster/replication.hpp
@@ -1,6 +1,7 @@
-// Knowledge between controllers: each member has a log of facts and tells it to the others, who keep a copy apart for
-// each origin. The log is compacted by subject, so whoever joins or fell behind reads it from where it stands and
-// stops nobody. What took longer to come than a stated time is not taken: a copy is never younger than it says.
+// Knowledge between controllers: each member has a log of facts and tells it to the others, who keep a copy
+// apart for each origin. The log is compacted by subject, so whoever joins or fell behind reads it from where
+// it stands and stops nobody. What took longer to come than a stated time is not taken: a copy is never
+// younger than it says.
 #pragma once
 
 #include <map>
@@ -13,16 +14,17 @@
 namespace gorsemount::cluster {
 
 struct ReplicationSettings {
-  Span beat = Span::seconds(0.5);    // nothing new is said that often too: it confirms what was said
-  Span again = Span::seconds(0.4);   // what was not answered is said again
-  Span late = Span::seconds(2);      // news that may be older than this on receipt are not taken
-  std::size_t bytes = 3000;          // of facts in one message, below a frame's bound
+  Span beat = Span::seconds(0.5);   // nothing new is said that often too: it confirms what was said
+  Span again = Span::seconds(0.4);  // what was not answered is said again
+  Span late = Span::seconds(2);     // news that may be older than this on receipt are not taken
+  std::size_t bytes = 3000;         // of facts in one message, below a frame's bound
 };
 
 class Replication {
  public:
   // `start`: of this life; grows from one to the next.
-  Replication(MemberId self, std::vector<MemberId> others, std::uint64_t start, ReplicationSettings settings = {});
+  Replication(MemberId self, std::vector<MemberId> others, std::uint64_t start,
+              ReplicationSettings settings = {});
 
   // What this member knows now; its log becomes that. Returns how many facts changed.
   std::size_t observe(Instant now, const recovery::Facts& present);
@@ -39,7 +41,8 @@
   [[nodiscard]] const std::map<MemberId, Copy>& copies() const { return copies_; }
   // What came in since the last call, in the order in which it came.
   [[nodiscard]] std::vector<recovery::Entry> take_news();
-  // All that the others know and that is believed at this time, one entry a subject; for a leader that takes over.
+  // All that the others know and that is believed at this time, one entry a subject; for a leader that takes
+  // over.
   [[nodiscard]] std::vector<recovery::Entry> believed(Instant now) const;
 
   struct Counters {
@@ -69,13 +72,13 @@
   Counters counters_;
 };
 
-// What the leader of a group has it use, by the copies: of all that were confirmed lately and say that they lead it,
-// the newest word. Empty: nobody is heard.
+// What the leader of a group has it use, by the copies: of all that were confirmed lately and say that they
+// lead it, the newest word. Empty: nobody is heard.
 struct GroupTable {
-  std::map<std::string, double> lines;                        // by backend
-  std::map<std::string, std::pair<int, double>> levels;       // tries and level, by operation
+  std::map<std::string, double> lines;                   // by backend
+  std::map<std::string, std::pair<int, double>> levels;  // tries and level, by operation
 };
-[[nodiscard]] std::optional<GroupTable> table_of(const std::map<MemberId, Replication::Copy>& copies, const std::string& group,
-                                                 Instant now);
+[[nodiscard]] std::optional<GroupTable> table_of(const std::map<MemberId, Replication::Copy>& copies,
+                                                 const std::string& group, Instant now);
 
 }  // namespace gorsemount::cluster
--- a/src/cluster/types.hpp
+++ b/src/cluster/types.hpp
@@ -19,7 +19,8 @@
 
 enum class Standing : std::uint8_t { alive = 0, suspected = 1, gone = 2 };
 
-// What is said of a member. Only the member itself raises its incarnation; of one incarnation the worse counts.
+// What is said of a member. Only the member itself raises its incarnation; of one incarnation the worse
+// counts.
 struct Rumour {
   MemberId member;
   Standing standing = Standing::alive;
@@ -53,12 +54,13 @@
   ShardId shard;
   Term term;
 };
-// Facts of the sender's log (recovery/codec.hpp) from one sequence to another; times in them count from when this
-// was written. `echo`: the receiver's own clock as it last told it, so that it can bound how old this is.
+// Facts of the sender's log (recovery/codec.hpp) from one sequence to another; times in them count from when
+// this was written. `echo`: the receiver's own clock as it last told it, so that it can bound how old this
+// is.
 struct News {
   std::uint64_t start = 0;  // of the sender's life
   std::uint64_t from = 0, upto = 0, last = 0;
-  std::int64_t echo = 0;    // micros; 0: it was never told
+  std::int64_t echo = 0;  // micros; 0: it was never told
   std::string facts;
 };
 struct Heard {
--- a/src/config/hcl.cpp
+++ b/src/config/hcl.cpp
@@ -1,9 +1,8 @@
 #include "config/hcl.hpp"
 
-#include <tao/pegtl.hpp>
-
 #include <algorithm>
 #include <cstdlib>
+#include <tao/pegtl.hpp>
 
 namespace gorsemount::hcl {
 
@@ -35,8 +34,7 @@
 struct ws : p::star<p::sor<p::one<' ', '\t', '\r'>, block_comment>> {};
 struct wsnl : p::star<p::sor<p::one<' ', '\t', '\r', '\n'>, block_comment, line_comment>> {};
 
-struct ident_text
-    : p::seq<p::sor<p::alpha, p::one<'_'>>, p::star<p::sor<p::alnum, p::one<'_', '-'>>>> {};
+struct ident_text : p::seq<p::sor<p::alpha, p::one<'_'>>, p::star<p::sor<p::alnum, p::one<'_', '-'>>>> {};
 struct ident : ident_text {};
 struct bare_label : ident_text {};
 struct bare_key : ident_text {};
@@ -59,9 +57,8 @@
 struct quoted_key : quoted {};
 
 struct digits : p::plus<p::digit> {};
-struct number
-    : p::seq<p::opt<p::one<'-'>>, digits, p::opt<p::one<'.'>, digits>,
-             p::opt<p::one<'e', 'E'>, p::opt<p::one<'+', '-'>>, digits>, p::not_at<ident_text>> {};
+struct number : p::seq<p::opt<p::one<'-'>>, digits, p::opt<p::one<'.'>, digits>,
+                       p::opt<p::one<'e', 'E'>, p::opt<p::one<'+', '-'>>, digits>, p::not_at<ident_text>> {};
 struct word_end : p::not_at<p::sor<p::alnum, p::one<'_', '-'>>> {};
 struct true_word : p::seq<TAO_PEGTL_STRING("true"), word_end> {};
 struct false_word : p::seq<TAO_PEGTL_STRING("false"), word_end> {};
@@ -143,11 +140,9 @@
 struct member_key : p::sor<bare_key, quoted_key> {};
 struct member : p::if_must<member_key, ws, key_sign, ws, value> {};
 struct member_end : p::seq<ws, p::sor<p::one<','>, p::one<'\n'>, line_comment, p::at<object_close>>> {};
-struct object
-    : p::if_must<object_open, deeper, wsnl, p::star<member, p::must<member_end>, wsnl>, object_close,
-                 shallower> {};
-struct value
-    : p::sor<string_value, number, true_word, false_word, null_word, heredoc, list, object> {};
+struct object : p::if_must<object_open, deeper, wsnl, p::star<member, p::must<member_end>, wsnl>,
+                           object_close, shallower> {};
+struct value : p::sor<string_value, number, true_word, false_word, null_word, heredoc, list, object> {};
 
 struct attr_sign : p::seq<p::one<'='>, p::not_at<p::one<'='>>> {};
 struct line_end : p::seq<ws, p::sor<p::one<'\n'>, line_comment, p::eof, p::at<p::one<'}'>>>> {};
@@ -155,8 +150,8 @@
 struct block_open : p::one<'{'> {};
 struct block_close : p::one<'}'> {};
 struct body;
-struct block : p::seq<p::star<ws, p::sor<label, bare_label>>, ws, p::if_must<block_open, deeper, body,
-                                                                             block_close, shallower>> {};
+struct block : p::seq<p::star<ws, p::sor<label, bare_label>>, ws,
+                      p::if_must<block_open, deeper, body, block_close, shallower>> {};
 struct item_rest : p::sor<attribute, block> {};
 struct item : p::if_must<ident, item_rest> {};
 struct body : p::seq<wsnl, p::star<item, wsnl>> {};
@@ -167,26 +162,39 @@
 
 template <typename Rule>
 inline constexpr const char* expected = nullptr;
-template <> inline constexpr const char* expected<comment_end> = "comment opened by '/*' is never closed";
-template <> inline constexpr const char* expected<esc_body> =
+template <>
+inline constexpr const char* expected<comment_end> = "comment opened by '/*' is never closed";
+template <>
+inline constexpr const char* expected<esc_body> =
     "unknown escape; known are \\n \\r \\t \\\" \\\\ \\uXXXX \\UXXXXXXXX";
-template <> inline constexpr const char* expected<p::star<str_part>> = "string can't be read";
-template <> inline constexpr const char* expected<str_close> = "string is not closed on its line";
-template <> inline constexpr const char* expected<no_template> =
+template <>
+inline constexpr const char* expected<p::star<str_part>> = "string can't be read";
+template <>
+inline constexpr const char* expected<str_close> = "string is not closed on its line";
+template <>
+inline constexpr const char* expected<no_template> =
     "templates are not supported; write $${ or %%{ for the plain signs";
-template <> inline constexpr const char* expected<value> =
+template <>
+inline constexpr const char* expected<value> =
     "expected a value: \"text\", a number, true, false, null, [list], {object} or <<HEREDOC";
-template <> inline constexpr const char* expected<list_close> = "expected ',' or ']' in a list";
-template <> inline constexpr const char* expected<key_sign> = "expected '=' or ':' after an object's key";
-template <> inline constexpr const char* expected<object_close> = "expected a key or '}' in an object";
-template <> inline constexpr const char* expected<member_end> =
+template <>
+inline constexpr const char* expected<list_close> = "expected ',' or ']' in a list";
+template <>
+inline constexpr const char* expected<key_sign> = "expected '=' or ':' after an object's key";
+template <>
+inline constexpr const char* expected<object_close> = "expected a key or '}' in an object";
+template <>
+inline constexpr const char* expected<member_end> =
     "expected ',', a new line or '}' after an object's member";
-template <> inline constexpr const char* expected<line_end> = "expected the end of the line after the value";
-template <> inline constexpr const char* expected<block_close> =
+template <>
+inline constexpr const char* expected<line_end> = "expected the end of the line after the value";
+template <>
+inline constexpr const char* expected<block_close> =
     "expected a setting, a block or '}' that closes the block";
-template <> inline constexpr const char* expected<item_rest> =
-    "expected '=' and a value, or labels and '{' of a block";
-template <> inline constexpr const char* expected<file_end> = "expected a setting's or a block's name";
+template <>
+inline constexpr const char* expected<item_rest> = "expected '=' and a value, or labels and '{' of a block";
+template <>
+inline constexpr const char* expected<file_end> = "expected a setting's or a block's name";
 
 template <typename Rule>
 struct control : p::normal<Rule> {
@@ -221,57 +229,94 @@
 template <typename Rule>
 struct action : p::nothing<Rule> {};
 
-template <> struct action<str_open> {
-  template <typename In> static void apply(const In& in, Builder& b) {
+template <>
+struct action<str_open> {
+  template <typename In>
+  static void apply(const In& in, Builder& b) {
     b.text.clear(), b.text_at = place_of(in);
   }
 };
-template <> struct action<plain_char> {
-  template <typename In> static void apply(const In& in, Builder& b) { b.text += in.string_view(); }
+template <>
+struct action<plain_char> {
+  template <typename In>
+  static void apply(const In& in, Builder& b) {
+    b.text += in.string_view();
+  }
 };
-template <> struct action<dollar> {
-  template <typename In> static void apply(const In& in, Builder& b) { b.text += in.string_view().substr(1); }
+template <>
+struct action<dollar> {
+  template <typename In>
+  static void apply(const In& in, Builder& b) {
+    b.text += in.string_view().substr(1);
+  }
 };
-template <> struct action<esc_char> {
-  template <typename In> static void apply(const In& in, Builder& b) {
+template <>
+struct action<esc_char> {
+  template <typename In>
+  static void apply(const In& in, Builder& b) {
     const char c = *in.begin();
     b.text.push_back(c == 'n' ? '\n' : c == 'r' ? '\r' : c == 't' ? '\t' : c);
   }
 };
 struct unicode_action {
-  template <typename In> static void apply(const In& in, Builder& b) {
+  template <typename In>
+  static void apply(const In& in, Builder& b) {
     const auto c = std::strtoul(in.string().c_str() + 1, nullptr, 16);
     if (c > 0x10ffff || (c >= 0xd800 && c < 0xe000)) throw p::parse_error("no such Unicode character", in);
     append_utf8(b.text, c);
   }
 };
-template <> struct action<esc_u4> : unicode_action {};
-template <> struct action<esc_u8> : unicode_action {};
-template <> struct action<string_value> {
-  template <typename In> static void apply(const In&, Builder& b) { b.values.push_back({b.text_at, b.text}); }
+template <>
+struct action<esc_u4> : unicode_action {};
+template <>
+struct action<esc_u8> : unicode_action {};
+template <>
+struct action<string_value> {
+  template <typename In>
+  static void apply(const In&, Builder& b) {
+    b.values.push_back({b.text_at, b.text});
+  }
 };
-template <> struct action<number> {
-  template <typename In> static void apply(const In& in, Builder& b) {
+template <>
+struct action<number> {
+  template <typename In>
+  static void apply(const In& in, Builder& b) {
     b.values.push_back({place_of(in), std::strtod(in.string().c_str(), nullptr)});
   }
 };
-template <> struct action<true_word> {
-  template <typename In> static void apply(const In& in, Builder& b) { b.values.push_back({place_of(in), true}); }
+template <>
+struct action<true_word> {
+  template <typename In>
+  static void apply(const In& in, Builder& b) {
+    b.values.push_back({place_of(in), true});
+  }
 };
-template <> struct action<false_word> {
-  template <typename In> static void apply(const In& in, Builder& b) { b.values.push_back({place_of(in), false}); }
+template <>
+struct action<false_word> {
+  template <typename In>
+  static void apply(const In& in, Builder& b) {
+    b.values.push_back({place_of(in), false});
+  }
 };
-template <> struct action<null_word> {
-  template <typename In> static void apply(const In& in, Builder& b) { b.values.push_back({place_of(in), {}}); }
+template <>
+struct action<null_word> {
+  template <typename In>
+  static void apply(const In& in, Builder& b) {
+    b.values.push_back({place_of(in), {}});
+  }
 };
 struct open_action {
-  template <typename In> static void apply(const In& in, Builder& b) {
+  template <typename In>
+  static void apply(const In& in, Builder& b) {
     b.marks.emplace_back(b.values.size(), place_of(in));
   }
 };
-template <> struct action<list_open> : open_action {};
-template <> struct action<list_close> {
-  template <typename In> static void apply(const In&, Builder& b) {
+template <>
+struct action<list_open> : open_action {};
+template <>
+struct action<list_close> {
+  template <typename In>
+  static void apply(const In&, Builder& b) {
     const auto [from, at] = b.marks.back();
     b.marks.pop_back();
     List made;
@@ -280,17 +325,26 @@
     b.values.push_back({at, std::move(made)});
   }
 };
-template <> struct action<object_open> : open_action {};
-template <> struct action<bare_key> {
-  template <typename In> static void apply(const In& in, Builder& b) {
+template <>
+struct action<object_open> : open_action {};
+template <>
+struct action<bare_key> {
+  template <typename In>
+  static void apply(const In& in, Builder& b) {
     b.keys.emplace_back(in.string(), place_of(in));
   }
 };
-template <> struct action<quoted_key> {
-  template <typename In> static void apply(const In&, Builder& b) { b.keys.emplace_back(b.text, b.text_at); }
+template <>
+struct action<quoted_key> {
+  template <typename In>
+  static void apply(const In&, Builder& b) {
+    b.keys.emplace_back(b.text, b.text_at);
+  }
 };
-template <> struct action<object_close> {
-  template <typename In> static void apply(const In&, Builder& b) {
+template <>
+struct action<object_close> {
+  template <typename In>
+  static void apply(const In&, Builder& b) {
     const auto [from, at] = b.marks.back();
     b.marks.pop_back();
     Object made;
@@ -302,34 +356,50 @@
     b.values.push_back({at, std::move(made)});
   }
 };
-template <> struct action<ident> {
-  template <typename In> static void apply(const In& in, Builder& b) {
+template <>
+struct action<ident> {
+  template <typename In>
+  static void apply(const In& in, Builder& b) {
     b.name = in.string(), b.name_at = place_of(in), b.labels.clear();
   }
 };
-template <> struct action<label> {
-  template <typename In> static void apply(const In&, Builder& b) { b.labels.emplace_back(b.text, b.text_at); }
+template <>
+struct action<label> {
+  template <typename In>
+  static void apply(const In&, Builder& b) {
+    b.labels.emplace_back(b.text, b.text_at);
+  }
 };
-template <> struct action<bare_label> {
-  template <typename In> static void apply(const In& in, Builder& b) {
+template <>
+struct action<bare_label> {
+  template <typename In>
+  static void apply(const In& in, Builder& b) {
     b.labels.emplace_back(in.string(), place_of(in));
   }
 };
-template <> struct action<attribute> {
-  template <typename In> static void apply(const In&, Builder& b) {
+template <>
+struct action<attribute> {
+  template <typename In>
+  static void apply(const In&, Builder& b) {
     b.bodies.back()->attributes.push_back({b.name, b.name_at, std::move(b.values.back())});
     b.values.pop_back();
   }
 };
-template <> struct action<block_open> {
-  template <typename In> static void apply(const In&, Builder& b) {
+template <>
+struct action<block_open> {
+  template <typename In>
+  static void apply(const In&, Builder& b) {
     auto& blocks = b.bodies.back()->blocks;
     blocks.push_back({b.name, b.name_at, b.labels, {}});
     b.bodies.push_back(&blocks.back().body);
   }
 };
-template <> struct action<block_close> {
-  template <typename In> static void apply(const In&, Builder& b) { b.bodies.pop_back(); }
+template <>
+struct action<block_close> {
+  template <typename In>
+  static void apply(const In&, Builder& b) {
+    b.bodies.pop_back();
+  }
 };
 
 }  // namespace
@@ -368,7 +438,8 @@
       const auto to = std::min(rest.find('\n', from), rest.size());
       const bool braced = rest.substr(from, to - from).find_first_of("{}[]") != std::string::npos;
       if (braced || from == to || tries + 1 >= kFaultsMost) return {};
-      std::fill(rest.begin() + static_cast<std::ptrdiff_t>(from), rest.begin() + static_cast<std::ptrdiff_t>(to), ' ');
+      std::fill(rest.begin() + static_cast<std::ptrdiff_t>(from),
+                rest.begin() + static_cast<std::ptrdiff_t>(to), ' ');
     }
   }
 }
--- a/src/config/hcl.hpp
+++ b/src/config/hcl.hpp
@@ -52,8 +52,8 @@
   Body body;
 };
 
-// Parses a whole text. Appends one fault for each line that can't be read (20 at most) and returns what could.
-// Limits: 4 MiB of text, 32 levels of nesting.
+// Parses a whole text. Appends one fault for each line that can't be read (20 at most) and returns what
+// could. Limits: 4 MiB of text, 32 levels of nesting.
 [[nodiscard]] Body parse(std::string_view text, const std::string& file, std::vector<Fault>& faults);
 
 }  // namespace gorsemount::hcl
--- a/src/config/reader.cpp
+++ b/src/config/reader.cpp
@@ -38,8 +38,12 @@
   const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (fault != std::errc{} || !std::isfinite(value)) return {};
   const std::string unit{end, text.data() + text.size()};
-  const double scale = unit == "us" ? 1e-6 : unit == "ms" ? 1e-3 : unit == "s" ? 1 : unit == "m" ? 60
-                       : unit == "h" ? 3600 : 0;
+  const double scale = unit == "us"   ? 1e-6
+                       : unit == "ms" ? 1e-3
+                       : unit == "s"  ? 1
+                       : unit == "m"  ? 60
+                       : unit == "h"  ? 3600
+                                      : 0;
   if (scale == 0 || std::abs(value * scale) > 1e9) return {};
   return Span::seconds(value * scale);
 }
@@ -81,8 +85,9 @@
 }
 
 void Section::note(const char* name, const hcl::Value* value, std::string text) const {
-  found_->values.push_back({path_.empty() ? name : path_ + "." + name, std::move(text),
-                            value == nullptr ? "default" : fmt::format("{}:{}", found_->file, value->at.line)});
+  found_->values.push_back(
+      {path_.empty() ? name : path_ + "." + name, std::move(text),
+       value == nullptr ? "default" : fmt::format("{}:{}", found_->file, value->at.line)});
 }
 
 double Section::number(const char* name, std::optional<double> otherwise, Range range, const char* unit) {
@@ -95,8 +100,9 @@
     if (given == nullptr) {
       wrong(name, *value, range.whole ? "a whole number" : "a number");
     } else if (!fits) {
-      const std::string bound = range.most >= 1e15 ? fmt::format("{:g} or more", range.least)
-                                                   : fmt::format("from {:g} to {:g}", range.least, range.most);
+      const std::string bound = range.most >= 1e15
+                                    ? fmt::format("{:g} or more", range.least)
+                                    : fmt::format("from {:g} to {:g}", range.least, range.most);
       fault(value->at, fmt::format("'{}' is {:g}; expected {} {}", name, *given,
                                    range.whole ? "a whole number" : "a number", bound));
     } else {
@@ -116,11 +122,12 @@
     if (given == nullptr) {
       wrong(name, *value, "a span of time such as \"250ms\" or \"4s\"");
     } else if (!read) {
-      fault(value->at, fmt::format("'{}' is \"{}\"; expected a span of time such as \"250ms\", \"4s\" or \"2m\"",
-                                   name, *given));
+      fault(value->at,
+            fmt::format("'{}' is \"{}\"; expected a span of time such as \"250ms\", \"4s\" or \"2m\"", name,
+                        *given));
     } else if (*read < least || *read > most) {
-      fault(value->at, fmt::format("'{}' is {}; expected from {} to {}", name, span_text(*read), span_text(least),
-                                   span_text(most)));
+      fault(value->at, fmt::format("'{}' is {}; expected from {} to {}", name, span_text(*read),
+                                   span_text(least), span_text(most)));
     } else {
       result = *read;
     }
@@ -168,7 +175,8 @@
     } else if (const auto it = std::find(words.begin(), words.end(), *given); it != words.end()) {
       result = static_cast<std::size_t>(it - words.begin());
     } else {
-      fault(value->at, fmt::format("'{}' is \"{}\"{}", name, *given, hint(*given, {words.begin(), words.end()})));
+      fault(value->at,
+            fmt::format("'{}' is \"{}\"{}", name, *given, hint(*given, {words.begin(), words.end()})));
     }
   }
   note(name, value, '"' + words[result] + '"');
@@ -224,11 +232,13 @@
 void Section::done() {
   std::set<std::string> seen;
   for (const auto& a : body_->attributes) {
-    if (!names_.contains(a.name)) fault(a.at, fmt::format("unknown setting '{}'{}", a.name, hint(a.name, names_)));
+    if (!names_.contains(a.name))
+      fault(a.at, fmt::format("unknown setting '{}'{}", a.name, hint(a.name, names_)));
     if (!seen.insert(a.name).second) fault(a.at, fmt::format("'{}' is set twice", a.name));
   }
   for (const auto& b : body_->blocks)
-    if (!types_.contains(b.type)) fault(b.at, fmt::format("unknown block '{}'{}", b.type, hint(b.type, types_)));
+    if (!types_.contains(b.type))
+      fault(b.at, fmt::format("unknown block '{}'{}", b.type, hint(b.type, types_)));
 }
 
 }  // namespace gorsemount::config
--- a/src/config/reader.hpp
+++ b/src/config/reader.hpp
@@ -49,7 +49,8 @@
   std::string text(const char* name, std::optional<std::string> otherwise);
   bool flag(const char* name, bool otherwise);
   // One of the words; the place among them.
-  std::size_t word(const char* name, const std::vector<std::string>& words, std::optional<std::size_t> otherwise);
+  std::size_t word(const char* name, const std::vector<std::string>& words,
+                   std::optional<std::size_t> otherwise);
   std::vector<std::pair<std::string, hcl::Place>> texts(const char* name);
   // Blocks of a type with `labels` labels each; others of that type are reported.
   std::vector<const hcl::Block*> blocks(const char* type, std::size_t labels);
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -19,7 +19,8 @@
 // A name of letters, digits and hyphens (RFC 1123, section 2.1), 63 at most: it becomes a DNS label.
 bool is_label(const std::string& text) {
   return !text.empty() && text.size() <= 63 && text.front() != '-' && text.back() != '-' &&
-         std::all_of(text.begin(), text.end(), [](unsigned char c) { return std::isalnum(c) != 0 || c == '-'; });
+         std::all_of(text.begin(), text.end(),
+                     [](unsigned char c) { return std::isalnum(c) != 0 || c == '-'; });
 }
 
 bool is_domain(const std::string& text) {
@@ -61,8 +62,10 @@
     if (const auto p = Prefix::parse(text)) {
       result.push_back(*p);
     } else {
-      in.fault(at, fmt::format("'{}' holds \"{}\"; expected an address prefix with no bits behind its length, "
-                               "such as \"10.1.0.0/16\" or \"2001:db8::/32\"", name, text));
+      in.fault(at,
+               fmt::format("'{}' holds \"{}\"; expected an address prefix with no bits behind its length, "
+                           "such as \"10.1.0.0/16\" or \"2001:db8::/32\"",
+                           name, text));
     }
   }
   return result;
@@ -73,7 +76,8 @@
   const auto e = Endpoint::parse(text);
   if (!e && !text.empty())
     in.fault(in.place(name), fmt::format("'{}' is \"{}\"; expected an address and a port, such as "
-                                         "\"127.0.0.1:5300\" or \"[::1]:5300\"", name, text));
+                                         "\"127.0.0.1:5300\" or \"[::1]:5300\"",
+                                         name, text));
   return e.value_or(Endpoint{});
 }
 
@@ -94,13 +98,15 @@
     for (const auto& [name, at] : near[a]) {
       const auto it = std::find(core.zones.begin(), core.zones.end(), name);
       if (it == core.zones.end()) {
-        root.fault(at, fmt::format("'near' names \"{}\", which is no zone; known: {}", name, fmt::join(core.zones, ", ")));
+        root.fault(at, fmt::format("'near' names \"{}\", which is no zone; known: {}", name,
+                                   fmt::join(core.zones, ", ")));
       } else if (it - core.zones.begin() != static_cast<std::ptrdiff_t>(a)) {
         core.tier[a][static_cast<std::size_t>(it - core.zones.begin())] = 1;
       }
     }
   }
-  if (core.zones.empty()) root.fault(root.at(), "no zone is named; expected at least one block: zone \"name\" {}");
+  if (core.zones.empty())
+    root.fault(root.at(), "no zone is named; expected at least one block: zone \"name\" {}");
 
   Section own = root.only("coordinator");
   s.name = own.text("name", "gorsemount");
@@ -119,7 +125,8 @@
     label_of(*b, in);
     coordinator::OperationInfo op;
     op.name = b->labels[0].first;
-    std::transform(op.name.begin(), op.name.end(), op.name.begin(), [](unsigned char c) { return std::tolower(c); });
+    std::transform(op.name.begin(), op.name.end(), op.name.begin(),
+                   [](unsigned char c) { return std::tolower(c); });
     op.effect = static_cast<Effect>(in.word("effect", effects, std::nullopt));
     op.latency_objective = in.span("latency_objective", std::nullopt, ms(1), Span::seconds(600));
     op.integration_timeout = in.span("integration_timeout", std::nullopt, ms(1), Span::seconds(600));
@@ -167,7 +174,8 @@
     group.sources = prefixes(in, "sources");
     group.usual_rate = in.number("usual_rate", 1, {0, 1e9}, "invocations/s");
     if (group.sources.empty())
-      in.fault(in.at(), fmt::format("group \"{}\" has no 'sources'; expected a list of address prefixes", group.name));
+      in.fault(in.at(),
+               fmt::format("group \"{}\" has no 'sources'; expected a list of address prefixes", group.name));
     for (const auto& p : group.sources)
       if (const auto [it, fresh] = taken.try_emplace(p, group.name); !fresh)
         in.fault(in.place("sources"), fmt::format("{} is in group \"{}\" too", p.text(), it->second));
@@ -203,7 +211,9 @@
     } else if (const auto at = Endpoint::parse(where)) {
       socket.at = *at;
     } else if (!where.empty()) {
-      f.fault(f.place("runtime"), fmt::format("'runtime' is \"{}\"; expected an address and a port, or \"unix:\" and a path", where));
+      f.fault(
+          f.place("runtime"),
+          fmt::format("'runtime' is \"{}\"; expected an address and a port, or \"unix:\" and a path", where));
     }
     forwarder.sources = prefixes(f, "sources");
     forwarder.usual_rate = f.number("usual_rate", 1, {0, 1e9}, "invocations/s");
@@ -220,12 +230,15 @@
   char* end = nullptr;
   const unsigned long bits = std::strtoul(mode.c_str(), &end, 8);
   if (mode.empty() || *end != 0 || bits > 0777 || (bits & 2U) != 0)
-    operators.fault(operators.place("mode"), fmt::format("'mode' is \"{}\"; expected octal mode bits such as \"0660\", not "
-                                                         "writable by everyone", mode));
+    operators.fault(operators.place("mode"),
+                    fmt::format("'mode' is \"{}\"; expected octal mode bits such as \"0660\", not "
+                                "writable by everyone",
+                                mode));
   s.runtime.socket_mode = static_cast<unsigned>(bits);
   if (const Endpoint tcp = endpoint(operators, "tcp", ""); tcp.port != 0) {
     s.runtime.tcp = tcp;
-    const bool loopback = tcp.address.v6 ? tcp.address == *Address::parse("::1") : tcp.address.bytes[0] == 127;
+    const bool loopback =
+        tcp.address.v6 ? tcp.address == *Address::parse("::1") : tcp.address.bytes[0] == 127;
     if (!loopback) operators.fault(operators.place("tcp"), "'tcp' is to be on a loopback address");
   }
   s.runtime.token_file = operators.text("token_file", "");
@@ -244,12 +257,14 @@
   }
   Section in = root.only("cluster");
   if (names.empty()) {
-    if (!in.text("member", "").empty()) in.fault(in.place("member"), "no member is named; expected blocks: member \"name\" { ... }");
+    if (!in.text("member", "").empty())
+      in.fault(in.place("member"), "no member is named; expected blocks: member \"name\" { ... }");
     static_cast<void>(in.text("key_file", ""));
   } else {
     s.cluster.member = names[in.word("member", names, std::nullopt)];
     s.cluster.key_file = in.text("key_file", std::nullopt);
-    if (names.size() == 2) in.fault(in.at(), "two members: neither is a majority without the other; expected 1, or 3 and more");
+    if (names.size() == 2)
+      in.fault(in.at(), "two members: neither is a majority without the other; expected 1, or 3 and more");
     if (names.size() > 100) in.fault(in.at(), "more than 100 members");
   }
   s.cluster.shards = static_cast<int>(in.number("shards", 8, {1, 1024, true}));
@@ -271,12 +286,14 @@
 
   Section dns = root.only("dns");
   s.listen = endpoint(dns, "listen", "127.0.0.1:5300");
-  if (s.listen.port < 1024) dns.fault(dns.place("listen"), "ports below 1024 need privileges; expected 1024 to 65535");
+  if (s.listen.port < 1024)
+    dns.fault(dns.place("listen"), "ports below 1024 need privileges; expected 1024 to 65535");
   s.dns.origin = domain(dns, "origin", std::nullopt);
   s.dns.hostmaster = domain(dns, "hostmaster", "hostmaster." + s.dns.origin);
   for (auto [name, at] : dns.texts("nameservers")) {
     if (!name.empty() && name.back() == '.') name.pop_back();
-    if (!is_domain(name)) dns.fault(at, fmt::format("'nameservers' holds \"{}\"; expected a domain name", name));
+    if (!is_domain(name))
+      dns.fault(at, fmt::format("'nameservers' holds \"{}\"; expected a domain name", name));
     s.dns.nameservers.push_back(name);
   }
   if (s.dns.nameservers.empty()) s.dns.nameservers.push_back("ns." + s.dns.origin);
@@ -305,7 +322,8 @@
   s.core.late_after = hears.span("late_after", ms(500), ms(1), Span::seconds(60));
   for (const auto& [name, path] : {std::pair{"health_path", &s.health_path}, {"load_path", &s.load_path}})
     if (path->empty() || path->front() != '/' || path->find_first_of(" \r\n") != std::string::npos)
-      hears.fault(hears.place(name), fmt::format("'{}' is \"{}\"; expected a path that begins with '/'", name, *path));
+      hears.fault(hears.place(name),
+                  fmt::format("'{}' is \"{}\"; expected a path that begins with '/'", name, *path));
   hears.done();
 
   read_runtime(root, s);
@@ -319,7 +337,8 @@
   Section store = root.only("store");
   s.store_folder = store.text("folder", "");
   s.store_key_file = store.text("key_file", "");
-  if (s.store_folder.empty() && !s.store_key_file.empty()) store.fault(store.place("key_file"), "a key without a 'folder'");
+  if (s.store_folder.empty() && !s.store_key_file.empty())
+    store.fault(store.place("key_file"), "a key without a 'folder'");
   store.done();
   Section recording = root.only("recording");
   s.recording_file = recording.text("file", "");
@@ -334,25 +353,28 @@
 
 std::string fixed_part(const ServeSettings& s) {
   const auto& c = s.core;
-  std::string text = fmt::format("{} {} {} {} {}|{}|{}|{}", s.name, s.zone_name, c.seed, c.coordinators, c.levels + 2 * c.spill,
-                                 span_text(c.report_every), s.listen.text(), s.dns.origin);
+  std::string text =
+      fmt::format("{} {} {} {} {}|{}|{}|{}", s.name, s.zone_name, c.seed, c.coordinators,
+                  c.levels + 2 * c.spill, span_text(c.report_every), s.listen.text(), s.dns.origin);
   for (const auto& zone : c.zones) text += "|" + zone;
   for (const auto& op : c.operations)
     text += fmt::format("|{} {} {} {} {}", op.name, static_cast<int>(op.effect), op.billed_value,
                         span_text(op.latency_objective), span_text(op.integration_timeout));
   for (const Span span : {c.unserved, c.drain_grace, c.cold_for, c.use_after, c.keepalive, c.messages_window,
-                          c.late_after, s.health_every, s.health_again, s.health_timeout, s.load_every, s.load_timeout, s.tcp_idle,
-                          s.dns.negative_for})
+                          c.late_after, s.health_every, s.health_again, s.health_timeout, s.load_every,
+                          s.load_timeout, s.tcp_idle, s.dns.negative_for})
     text += "|" + span_text(span);
-  text += fmt::format("|{} {} {} {} {} {} {}|{} {} {}", c.removal_binds, c.cold_from, c.tip_multiple, c.backlog,
-                      c.lines_per_second, c.per_message, c.messages_most, c.lines_most, c.addresses_most, s.tcp_most);
+  text += fmt::format("|{} {} {} {} {} {} {}|{} {} {}", c.removal_binds, c.cold_from, c.tip_multiple,
+                      c.backlog, c.lines_per_second, c.per_message, c.messages_most, c.lines_most,
+                      c.addresses_most, s.tcp_most);
   for (std::size_t k = 0; k < c.forwarders.size(); ++k)
-    text += fmt::format("|{} {} {} {}", c.forwarders[k].name, c.forwarders[k].zone.value, s.runtime.forwarders[k].at.text(),
-                        s.runtime.forwarders[k].path);
-  text += fmt::format("|{} {} {} {} {}", s.cluster.member, s.cluster.key_file, s.cluster.shards, span_text(s.cluster.lease), s.cluster.drift);
+    text += fmt::format("|{} {} {} {}", c.forwarders[k].name, c.forwarders[k].zone.value,
+                        s.runtime.forwarders[k].at.text(), s.runtime.forwarders[k].path);
+  text += fmt::format("|{} {} {} {} {}", s.cluster.member, s.cluster.key_file, s.cluster.shards,
+                      span_text(s.cluster.lease), s.cluster.drift);
   for (const auto& [name, at] : s.cluster.members) text += "|" + name + " " + at.text();
-  return text + fmt::format("|{} {}|{} {}|{}", s.health_path, s.load_path, s.dns.hostmaster, s.dns.additional_most,
-                            fmt::join(s.dns.nameservers, " "));
+  return text + fmt::format("|{} {}|{} {}|{}", s.health_path, s.load_path, s.dns.hostmaster,
+                            s.dns.additional_most, fmt::join(s.dns.nameservers, " "));
 }
 
 RosterRead read_roster(const std::string& text, const std::string& file, const coordinator::Settings& core) {
@@ -372,22 +394,24 @@
     entry.zone = zone_of(in, "zone", core.zones);
     entry.at = endpoint(in, "address", std::nullopt);
     entry.weight = in.number("weight", 1, {1e-6, 1e6});
-    entry.availability = in.word("state", {"ready", "draining"}, 0) == 1 ? Availability::draining
-                                                                         : Availability::ready;
+    entry.availability =
+        in.word("state", {"ready", "draining"}, 0) == 1 ? Availability::draining : Availability::ready;
     if (const auto open = in.texts("operations"); !open.empty()) {
       entry.operations = 0;
       for (const auto& [name, at] : open) {
         const auto it = std::find(operations.begin(), operations.end(), name);
         if (it == operations.end()) {
           const auto near = nearest(name, {operations.begin(), operations.end()});
-          in.fault(at, fmt::format("unknown operation '{}'{}", name, near ? "; did you mean '" + *near + "'?" : ""));
+          in.fault(at, fmt::format("unknown operation '{}'{}", name,
+                                   near ? "; did you mean '" + *near + "'?" : ""));
         } else {
           entry.operations |= 1U << static_cast<unsigned>(it - operations.begin());
         }
       }
     }
     if (const auto [it, fresh] = taken.try_emplace(entry.at, entry.name); !fresh)
-      in.fault(in.place("address"), fmt::format("{} is the address of \"{}\" too", entry.at.text(), it->second));
+      in.fault(in.place("address"),
+               fmt::format("{} is the address of \"{}\" too", entry.at.text(), it->second));
     result.entries.push_back(std::move(entry));
     in.done();
   }
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -25,9 +25,9 @@
   };
   std::vector<Socket> forwarders;  // runtime sockets, in the order of core.forwarders
   Span read_back_every, answer_within, redial_after;
-  std::string socket;                // the operators' UNIX socket; empty: none
+  std::string socket;  // the operators' UNIX socket; empty: none
   unsigned socket_mode = 0;
-  std::optional<Endpoint> tcp;       // and on TCP, with the token of a file
+  std::optional<Endpoint> tcp;  // and on TCP, with the token of a file
   std::string token_file;
 };
 
@@ -50,21 +50,22 @@
   RuntimeSettings runtime;
   ClusterSettings cluster;
   Endpoint listen;
-  int tcp_most = 0;       // TCP connections at one time
-  Span tcp_idle;          // RFC 7766, section 6.2.3
+  int tcp_most = 0;  // TCP connections at one time
+  Span tcp_idle;     // RFC 7766, section 6.2.3
   std::string roster_file;
   Span roster_every;
   std::string health_path, load_path;
   Span health_every, health_again, health_timeout, load_every, load_timeout;
   std::string log_level, log_file, records_file;
   std::string store_folder, store_key_file;  // empty: nothing outlasts the process
-  std::string recording_file;      // for replays; empty: none
-  std::uint64_t recording_most = 0;  // bytes before compression, then a new file begins
+  std::string recording_file;                // for replays; empty: none
+  std::uint64_t recording_most = 0;          // bytes before compression, then a new file begins
 };
 
 // Reads and checks a file's text. Faults and the values in force go to `findings`; the settings are only of
 // use if it holds no fault.
-[[nodiscard]] ServeSettings read_settings(const std::string& text, const std::string& file, Findings& findings);
+[[nodiscard]] ServeSettings read_settings(const std::string& text, const std::string& file,
+                                          Findings& findings);
 
 // What a running coordinator can't change: a text that differs if any of it does.
 [[nodiscard]] std::string fixed_part(const ServeSettings& settings);
--- a/src/coordinator/baseline.cpp
+++ b/src/coordinator/baseline.cpp
@@ -8,7 +8,8 @@
     for (const auto& event : events) {
       if (const auto* listed = std::get_if<Listed>(&event)) {
         for (const auto& e : listed->entries)
-          orders.emplace_back(SetLine{TableId{}, e.backend, e.availability == Availability::ready ? e.weight : 0});
+          orders.emplace_back(
+              SetLine{TableId{}, e.backend, e.availability == Availability::ready ? e.weight : 0});
       } else if (const auto* joined = std::get_if<ProxyJoined>(&event)) {
         orders.emplace_back(BindProxy{joined->proxy, TableId{}});
       }
@@ -23,7 +24,8 @@
     for (const auto& event : events) {
       if (const auto* listed = std::get_if<Listed>(&event)) {
         for (const auto& e : listed->entries)
-          orders.emplace_back(SetLine{TableId{e.zone.value}, e.backend, e.availability == Availability::ready ? e.weight : 0});
+          orders.emplace_back(SetLine{TableId{e.zone.value}, e.backend,
+                                      e.availability == Availability::ready ? e.weight : 0});
       } else if (const auto* joined = std::get_if<ProxyJoined>(&event)) {
         orders.emplace_back(BindProxy{joined->proxy, TableId{joined->zone.value}});
       }
--- a/src/coordinator/channel.cpp
+++ b/src/coordinator/channel.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Whoever counts messages within the window counts them by a clock and a moment of his own: one that leaves as the
-// window ends may arrive before it does. Some milliseconds were seen on a busy machine.
+// Whoever counts messages within the window counts them by a clock and a moment of his own: one that leaves
+// as the window ends may arrive before it does. Some milliseconds were seen on a busy machine.
 const Span kSlack = Span::seconds(0.1);
 
 // Lines of a message that turns `have` into `want`; a group that is bound anew is sent the whole table.
--- a/src/coordinator/channel.hpp
+++ b/src/coordinator/channel.hpp
@@ -1,5 +1,5 @@
-// The channel's ledger: what waits, in lines, and how many messages each group got within the window. It keeps
-// rule 5 even if the module's orders would not: what does not fit is held back and sent merged, later.
+// The channel's ledger: what waits, in lines, and how many messages each group got within the window. It
+// keeps rule 5 even if the module's orders would not: what does not fit is held back and sent merged, later.
 #pragma once
 
 #include <deque>
@@ -18,7 +18,7 @@
   std::map<BackendId, double> lines;
   std::vector<Level> levels;
   std::vector<int> tiers;  // by zone of backends, for whoever turns from one to the next; empty: all 0
-  bool urgent = false;  // it takes out what a rule forces out
+  bool urgent = false;     // it takes out what a rule forces out
 };
 using TablePtr = std::shared_ptr<const Table>;
 
