--- a/src/coordinator/coordinator.cpp
+++ b/src/coordinator/coordinator.cpp
@@ -14,11 +14,12 @@
 // part of the time that rule 1 allows: without its start a cold one would pass for warm.
 constexpr double kIntroduction = 0.4;
 
-// Report rounds from a taken-over forwarder's first whole table till further tries come back: one shows that what it
-// does is heard here. Where a change was half sent, tries under the one before may still be under way, for about as
-// long as a usual integration timeout: eight rounds.
+// Report rounds from a taken-over forwarder's first whole table till further tries come back: one shows that
+// what it does is heard here. Where a change was half sent, tries under the one before may still be under
+// way, for about as long as a usual integration timeout: eight rounds.
 constexpr double kCare = 1, kCareHalf = 8;
-// And rounds for which a restarted coordinator leaves forwarders what it finds: the module judges a backend by two.
+// And rounds for which a restarted coordinator leaves forwarders what it finds: the module judges a backend
+// by two.
 constexpr double kFound = 3;
 
 constexpr double kOut = 1e-3;  // of a listed weight: next to nothing, and still a weight
@@ -38,14 +39,16 @@
 
 gorsemount::Settings module_settings(const Settings& s) {
   gorsemount::Settings m;
-  for (const auto& op : s.operations) m.operations.push_back({op.effect, op.latency_objective, op.billed_value});
+  for (const auto& op : s.operations)
+    m.operations.push_back({op.effect, op.latency_objective, op.billed_value});
   m.level_kind = s.levels ? LevelKind::share : LevelKind::off;
   m.report_every = s.report_every;
   m.intake = 1e9;  // report lines never wait here: evidence is summed up by the round
   m.backlog = s.backlog, m.push_rate = s.lines_per_second, m.per_message = s.per_message;
   m.messages_most = s.messages_most, m.messages_window = s.messages_window;
   // Every group may ask every coordinator, so each has them all.
-  m.proxies = static_cast<double>(s.groups.size() + s.forwarders.size()) * s.coordinators, m.coordinators = s.coordinators;
+  m.proxies = static_cast<double>(s.groups.size() + s.forwarders.size()) * s.coordinators,
+  m.coordinators = s.coordinators;
   m.keepalive = s.keepalive;
   m.ask_within = s.unserved;
   m.drain_grace = s.drain_grace, m.removal_binds = s.removal_binds;
@@ -55,7 +58,8 @@
 
 Decide module_of(const Settings& settings) {
   auto policy = std::make_shared<Policy>(module_settings(settings), settings.seed);
-  Decide decide{[policy](Instant now, const std::vector<Event>& events) { return policy->handle(now, events); }};
+  Decide decide{
+      [policy](Instant now, const std::vector<Event>& events) { return policy->handle(now, events); }};
   decide.remember = [policy](Instant now) { return policy->remember(now); };
   decide.recall = [policy](Instant now, const Memory& memory) { policy->recall(now, memory); };
   return decide;
@@ -72,7 +76,8 @@
 std::vector<limits::Priced> priced(const Settings& s) {
   std::vector<limits::Priced> operations;
   for (std::size_t k = 0; k < s.operations.size(); ++k)
-    operations.push_back({op_at(k), s.operations[k].billed_value, s.operations[k].latency_objective.seconds()});
+    operations.push_back(
+        {op_at(k), s.operations[k].billed_value, s.operations[k].latency_objective.seconds()});
   return operations;
 }
 
@@ -126,7 +131,8 @@
       row->second.first_seen = now_;
       row->second.learned = now_;
     }
-    if (fresh || !row->second.listed || !(row->second.entry == entry)) touched_.insert(it->second), dirty_ = restand_ = true;
+    if (fresh || !row->second.listed || !(row->second.entry == entry))
+      touched_.insert(it->second), dirty_ = restand_ = true;
     if (!row->second.told) untold_.insert(it->second);
     row->second.entry = entry, row->second.listed = true;
   }
@@ -210,7 +216,8 @@
 
 void Coordinator::absorb(const ForwarderJoined& e) {
   for (auto& event : attendance_.joined(now_, e.forwarder)) {
-    channel_.join(e.forwarder), limit_.joined(e.forwarder), retries_.joined(e.forwarder), holds_[e.forwarder] = 0;
+    channel_.join(e.forwarder), limit_.joined(e.forwarder), retries_.joined(e.forwarder),
+        holds_[e.forwarder] = 0;
     if (own_memory_ && !e.holds.empty()) found_[e.forwarder] = {e.holds, now_ + s_.report_every * kFound};
     if (e.taken_over) {
       const auto half = half_sent_.find(e.forwarder);
@@ -258,22 +265,28 @@
   if (zone && std::find(s_.zones.begin(), s_.zones.end(), e.name) == s_.zones.end())
     return fmt::format("no zone is called '{}'; known: {}", e.name, fmt::join(s_.zones, ", "));
   if (!zone && !ids_.contains(e.name)) return fmt::format("no backend is called '{}'", e.name);
-  if (e.what == What::set_weight && !(e.weight > 0 && e.weight <= 1e6)) return "a weight is above 0 and at most 1e6";
+  if (e.what == What::set_weight && !(e.weight > 0 && e.weight <= 1e6))
+    return "a weight is above 0 and at most 1e6";
   if (e.what != What::drain_zone && e.what != What::disable) return "";
   for (std::size_t k = 0; k < s_.operations.size(); ++k) {
     bool left = false;
     for (const auto& [id, row] : rows_) {
       const std::string& in = s_.zones[row.entry.zone.value];
-      if (!row.told || row.told->availability != Availability::ready || (row.entry.operations >> k & 1U) == 0) continue;
+      if (!row.told || row.told->availability != Availability::ready || (row.entry.operations >> k & 1U) == 0)
+        continue;
       if (persons_.out(row.entry.name) || persons_.drained(in)) continue;
       left = left || (zone ? in != e.name : row.entry.name != e.name);
     }
     if (!left) return fmt::format("refused: it would leave no ready backend for '{}'", s_.operations[k].name);
   }
   if (zone && e.what == What::drain_zone && !e.anyway && spill_) {
-    const auto z = static_cast<std::size_t>(std::find(s_.zones.begin(), s_.zones.end(), e.name) - s_.zones.begin());
+    const auto z =
+        static_cast<std::size_t>(std::find(s_.zones.begin(), s_.zones.end(), e.name) - s_.zones.begin());
     if (!spill_->room_without(z))
-      return fmt::format("refused: the other zones have not shown room for what comes now; 'drain zone {} anyway' does it all the same", e.name);
+      return fmt::format(
+          "refused: the other zones have not shown room for what comes now; 'drain zone {} anyway' does it "
+          "all the same",
+          e.name);
   }
   return "";
 }
@@ -281,29 +294,48 @@
 void Coordinator::absorb(const PersonOrders& e) {
   using What = PersonOrders::What;
   out_.answers.push_back(refusal(e));
-  constexpr const char* names[] = {"set_weight", "drain_zone", "undrain_zone", "disable", "enable", "hold", "release"};
+  constexpr const char* names[] = {"set_weight", "drain_zone", "undrain_zone", "disable",
+                                   "enable",     "hold",       "release"};
   note(Note::Weight::info, "person_ordered",
-       {{"order", names[static_cast<std::size_t>(e.what)]}, {"name", e.name}, {"refused", out_.answers.back()}});
+       {{"order", names[static_cast<std::size_t>(e.what)]},
+        {"name", e.name},
+        {"refused", out_.answers.back()}});
   if (!out_.answers.back().empty()) return;
   switch (e.what) {
-    case What::set_weight: persons_.set_weight(now_, e.name, e.weight, e.lifetime); break;
-    case What::drain_zone: persons_.drain(now_, e.name); break;
-    case What::undrain_zone: persons_.undrain(now_, e.name); break;
-    case What::disable: persons_.disable(now_, e.name); break;
-    case What::enable: persons_.enable(now_, e.name); break;
-    case What::hold: hold_ = true, hold_ordered_ = now_; break;
-    case What::release: hold_ = false, hold_ordered_ = now_; break;
+    case What::set_weight:
+      persons_.set_weight(now_, e.name, e.weight, e.lifetime);
+      break;
+    case What::drain_zone:
+      persons_.drain(now_, e.name);
+      break;
+    case What::undrain_zone:
+      persons_.undrain(now_, e.name);
+      break;
+    case What::disable:
+      persons_.disable(now_, e.name);
+      break;
+    case What::enable:
+      persons_.enable(now_, e.name);
+      break;
+    case What::hold:
+      hold_ = true, hold_ordered_ = now_;
+      break;
+    case What::release:
+      hold_ = false, hold_ordered_ = now_;
+      break;
   }
   for (const auto& [id, row] : rows_) touched_.insert(id);
   person_next_ = persons_.next_change(now_);
 }
 
 std::string Coordinator::proxy_name(ProxyId proxy) const {
-  return is_forwarder(proxy) ? s_.forwarders[proxy.value - kFirstForwarder].name : s_.groups[proxy.value].name;
+  return is_forwarder(proxy) ? s_.forwarders[proxy.value - kFirstForwarder].name
+                             : s_.groups[proxy.value].name;
 }
 
-// A machine that refuses connections has no such process: a fact, which no bound on judgements need hold back.
-// But a view in which over half of the fleet has gone is likelier wrong than the fleet, so it is not acted on.
+// A machine that refuses connections has no such process: a fact, which no bound on judgements need hold
+// back. But a view in which over half of the fleet has gone is likelier wrong than the fleet, so it is not
+// acted on.
 void Coordinator::heed_absence(BackendId backend) {
   const auto row = rows_.find(backend);
   if (row != rows_.end() && row->second.listed && evidence_.absent(backend)) {
@@ -360,19 +392,21 @@
       entry.weight = say.weight.value_or(entry.weight) * (say.share > 0 ? say.share : 1);
       if (say.out && entry.availability == Availability::ready) entry.availability = Availability::draining;
     }
-    // What drains is no capacity: the module reckons what the fleet can carry by listed weights, those of draining backends
-    // among them, and with a whole zone of them would let in what nobody can take.
+    // What drains is no capacity: the module reckons what the fleet can carry by listed weights, those of
+    // draining backends among them, and with a whole zone of them would let in what nobody can take.
     if (entry.availability == Availability::draining) entry.weight *= kOut;
     // A start matters while it is young; later it is long ago, and stays what was told.
     auto started = evidence_.started(id);
-    if (!started && past != past_.end() && past->second.cold) started = past->second.cold->times.at("started");
+    if (!started && past != past_.end() && past->second.cold)
+      started = past->second.cold->times.at("started");
     if (started && now_ - *started < s_.cold_for) entry.started = started;
     if (!entry.started && row.told) entry.started = row.told->started;
     if (row.told && row.told->zone == entry.zone && row.told->availability == entry.availability &&
         row.told->weight == entry.weight && row.told->started == entry.started)
       continue;
     if (!row.told && entry.availability == Availability::gone) continue;
-    const bool worse = row.told && (entry.availability != Availability::ready || row.told->started != entry.started);
+    const bool worse =
+        row.told && (entry.availability != Availability::ready || row.told->started != entry.started);
     if (worse) row.learned = now_;
     if (!row.told || row.told->availability != entry.availability || worse)
       note(Note::Weight::info, "backend",
@@ -437,7 +471,8 @@
 void Coordinator::want_tables() {
   for (const auto& [proxy, table] : bound_) {
     const TablePtr& newest = versions_.at(table);
-    const ZoneId zone = is_forwarder(proxy) ? s_.forwarders[proxy.value - kFirstForwarder].zone : s_.groups[proxy.value].zone;
+    const ZoneId zone =
+        is_forwarder(proxy) ? s_.forwarders[proxy.value - kFirstForwarder].zone : s_.groups[proxy.value].zone;
     channel_.want(proxy, spilled(is_forwarder(proxy) ? guarded(newest) : newest, zone));
   }
 }
@@ -462,7 +497,8 @@
     }
   if (fresh.lines.empty())
     for (const auto& [id, row] : rows_)
-      if (row.told && row.told->availability == Availability::ready && warm(row)) fresh.lines[id] = row.entry.weight;
+      if (row.told && row.told->availability == Availability::ready && warm(row))
+        fresh.lines[id] = row.entry.weight;
   if (made && made->lines == fresh.lines && made->levels == fresh.levels) return made;
   fresh.version = ++table_version_;
   return made = std::make_shared<const Table>(std::move(fresh));
@@ -501,9 +537,12 @@
 void Coordinator::share_limits() {
   auto fresh = limit_.parts();
   std::set<ProxyId> moved;
-  const auto differs = [](double a, double b) { return std::abs(a - b) > 0.1 * std::max(a, b); };  // worth a message
+  const auto differs = [](double a, double b) {
+    return std::abs(a - b) > 0.1 * std::max(a, b);
+  };  // worth a message
   for (const auto& [key, part] : fresh)
-    if (const auto it = parts_.find(key); it == parts_.end() || differs(part, it->second)) moved.insert(key.first);
+    if (const auto it = parts_.find(key); it == parts_.end() || differs(part, it->second))
+      moved.insert(key.first);
   for (const auto& [key, part] : parts_)
     if (!fresh.contains(key)) moved.insert(key.first);
   if (moved.empty()) return;
@@ -519,7 +558,8 @@
 
 // The budget of further tries, dealt anew after each round.
 void Coordinator::deal_retries() {
-  // Every delivery carries the part of its moment, so what stood before the deal is what was told, a recalled part too.
+  // Every delivery carries the part of its moment, so what stood before the deal is what was told, a recalled
+  // part too.
   const auto before = retries_.parts();
   for (const auto& [proxy, part] : retries_.deal(now_)) {
     const auto was = before.find(proxy);
@@ -543,7 +583,8 @@
     b.cold = row.told && !warm(row), b.absent = absent_.contains(id);
     const auto say = persons_.of(b.name, b.zone, now_);
     b.by_person = !(say == Persons::Say{});
-    if (const auto doubt = doubts_.find(id); doubt != doubts_.end()) b.doubt = coordinator::name_of(doubt->second);
+    if (const auto doubt = doubts_.find(id); doubt != doubts_.end())
+      b.doubt = coordinator::name_of(doubt->second);
     all.push_back(std::move(b));
   }
   return all;
@@ -598,14 +639,17 @@
     next_warm_.reset();
     for (const auto& [id, row] : rows_)
       if (row.told && !warm(row))
-        next_warm_ = std::min(next_warm_.value_or(Instant{} + Span::micros(INT64_MAX)), *row.told->started + s_.cold_for);
+        next_warm_ = std::min(next_warm_.value_or(Instant{} + Span::micros(INT64_MAX)),
+                              *row.told->started + s_.cold_for);
   }
   if (!dirty_) return;
   dirty_ = false;
   std::map<BackendId, Known> directory;
   for (const auto& [id, row] : rows_)
-    directory.emplace(id, Known{row.entry.name, row.entry.at, row.entry.zone, row.counts(now_, s_.removal_binds)});
-  if (directory != *directory_) directory_ = std::make_shared<const std::map<BackendId, Known>>(std::move(directory));
+    directory.emplace(
+        id, Known{row.entry.name, row.entry.at, row.entry.zone, row.counts(now_, s_.removal_binds)});
+  if (directory != *directory_)
+    directory_ = std::make_shared<const std::map<BackendId, Known>>(std::move(directory));
 
   auto next = std::make_shared<Published>();
   next->version = ++publish_version_;
@@ -657,7 +701,9 @@
   out_ = {};
   // Who joined before the first list was told waits for it: nobody would say it again.
   if (listed_once_) events_.clear();
-  std::erase_if(events_, [](const Event& e) { return !std::holds_alternative<ProxyJoined>(e) && !std::holds_alternative<ProxyLeft>(e); });
+  std::erase_if(events_, [](const Event& e) {
+    return !std::holds_alternative<ProxyJoined>(e) && !std::holds_alternative<ProxyLeft>(e);
+  });
   ++counters_.steps;
   for (const auto& input : inputs) std::visit([this](const auto& e) { absorb(e); }, input);
   for (auto& event : attendance_.leave_idle(now_)) {
@@ -682,9 +728,12 @@
     // Nor are its processors, or those of what a person has lowered, idle ones that the fleet could use.
     for (auto& event : reports)
       if (auto* r = std::get_if<BackendReport>(&event); r != nullptr && r->busy)
-        if (const auto row = rows_.find(r->backend); row != rows_.end() && row->second.told && lowered(row->second)) r->busy.reset();
+        if (const auto row = rows_.find(r->backend);
+            row != rows_.end() && row->second.told && lowered(row->second))
+          r->busy.reset();
     for (auto& event : reports)
-      if (const auto* d = std::get_if<DemandReport>(&event); d == nullptr || attendance_.present().contains(d->proxy))
+      if (const auto* d = std::get_if<DemandReport>(&event);
+          d == nullptr || attendance_.present().contains(d->proxy))
         events_.push_back(std::move(event));
   }
   if (!events_.empty() && listed_once_) apply(decide_.handle(now_, std::exchange(events_, {})));
--- a/src/coordinator/coordinator.hpp
+++ b/src/coordinator/coordinator.hpp
@@ -8,9 +8,9 @@
 #pragma once
 
 #include <functional>
-#include <type_traits>
 #include <map>
 #include <set>
+#include <type_traits>
 
 #include "coordinator/channel.hpp"
 #include "coordinator/evidence.hpp"
@@ -28,8 +28,8 @@
   using Handle = std::function<std::vector<Order>(Instant, const std::vector<Event>&)>;
   Decide() = default;
   template <class F>
-    requires std::is_constructible_v<Handle, F>
-  Decide(F f) : handle{std::move(f)} {}  // NOLINT: a plain function decides too
+  requires std::is_constructible_v<Handle, F> Decide(F f)
+      : handle{std::move(f)} {}  // NOLINT: a plain function decides too
   explicit operator bool() const { return static_cast<bool>(handle); }
 
   Handle handle;
@@ -47,11 +47,11 @@
 
 struct Counters {
   std::uint64_t steps = 0, orders = 0, messages = 0;
-  std::uint64_t held_back = 0;      // messages that did not fit into the channel at once
-  std::uint64_t cut_unasked = 0;    // lines that the published views left out though a table had them
-  std::uint64_t stood_in = 0;       // views that the standing lines filled since they were empty
-  std::uint64_t doubted = 0;        // load replies that were not taken as they came
-  double most_waiting = 0;          // lines
+  std::uint64_t held_back = 0;    // messages that did not fit into the channel at once
+  std::uint64_t cut_unasked = 0;  // lines that the published views left out though a table had them
+  std::uint64_t stood_in = 0;     // views that the standing lines filled since they were empty
+  std::uint64_t doubted = 0;      // load replies that were not taken as they came
+  double most_waiting = 0;        // lines
 };
 
 class Coordinator {
@@ -101,9 +101,9 @@
   struct Row {
     RosterEntry entry;
     Instant first_seen;
-    bool listed = true;                  // in the newest roster
-    std::optional<Listed::Entry> told;   // what the module knows
-    Instant learned;                     // when it was last known to drain, to be gone or to start anew
+    bool listed = true;                 // in the newest roster
+    std::optional<Listed::Entry> told;  // what the module knows
+    Instant learned;                    // when it was last known to drain, to be gone or to start anew
     bool counts(const Instant made, const bool removal_binds) const {
       if (!told) return false;
       if (told->availability == Availability::draining) return false;
@@ -130,7 +130,8 @@
   void end_care();
   void decide_spill(const std::vector<Event>& reports);
   void share_cuts();
-  [[nodiscard]] std::vector<double> parts_of_cut(const Table& table, ZoneId proxies, const std::vector<double>& in_table) const;
+  [[nodiscard]] std::vector<double> parts_of_cut(const Table& table, ZoneId proxies,
+                                                 const std::vector<double>& in_table) const;
   [[nodiscard]] spill::Trips trips(const std::vector<Event>& reports);
   [[nodiscard]] TablePtr spilled(TablePtr table, ZoneId proxies);
   [[nodiscard]] std::map<BackendId, double> lines_for(ProxyId forwarder, const Table& table) const;
@@ -165,22 +166,22 @@
   std::map<std::string, BackendId> ids_;
   std::map<BackendId, Row> rows_;
   std::uint32_t next_id_ = 1;
-  std::map<BackendId, Doubt> doubts_;    // the last of each, so that only a change is logged
-  std::set<BackendId> unheard_;          // whose load did not come the last time
+  std::map<BackendId, Doubt> doubts_;  // the last of each, so that only a change is logged
+  std::set<BackendId> unheard_;        // whose load did not come the last time
   // A step looks at those that something was heard of, not at the fleet: steps come by the hundred a second.
   std::set<BackendId> touched_;
-  std::set<BackendId> untold_;           // listed, and the module does not know yet
-  std::set<BackendId> absent_;           // whose machine refuses connections
+  std::set<BackendId> untold_;  // listed, and the module does not know yet
+  std::set<BackendId> absent_;  // whose machine refuses connections
   std::size_t listed_ = 0;
   bool absence_counts_ = true;
-  std::optional<Instant> next_warm_;     // when the standing lines next change by themselves
-  bool restand_ = true;                  // or at once
+  std::optional<Instant> next_warm_;  // when the standing lines next change by themselves
+  bool restand_ = true;               // or at once
   std::multimap<Instant, TimerTag> timers_;
   std::optional<Instant> round_at_;
-  std::map<TableId, Table> tables_;      // as ordered
+  std::map<TableId, Table> tables_;  // as ordered
   std::map<TableId, TablePtr> versions_;
-  std::deque<TablePtr> history_;         // the last versions, for people
-  std::set<TableId> frozen_;             // changed since a person holds the decisions
+  std::deque<TablePtr> history_;  // the last versions, for people
+  std::set<TableId> frozen_;      // changed since a person holds the decisions
   std::map<ProxyId, TableId> bound_;
   // For forwarders: tables with the guards already in them, since what they hold is not read anew by a front.
   std::map<TableId, std::pair<std::pair<std::uint64_t, std::uint64_t>, TablePtr>> guarded_;
@@ -208,16 +209,17 @@
     std::optional<Instant> until;
   };
   std::map<ProxyId, Care> care_;
-  // After a restart with memory: what forwarders were found to hold, which stands till the module has heard enough.
+  // After a restart with memory: what forwarders were found to hold, which stands till the module has heard
+  // enough.
   struct Found {
     std::map<std::string, double> lines;
     Instant until;
   };
   std::map<ProxyId, Found> found_;
   bool own_memory_ = false;
-  std::map<ProxyId, bool> half_sent_;           // as other controllers had it
+  std::map<ProxyId, bool> half_sent_;  // as other controllers had it
   std::map<ProxyId, Instant> group_seen_;
-  std::map<ProxyId, TablePtr> followed_;        // of groups that are led elsewhere
+  std::map<ProxyId, TablePtr> followed_;  // of groups that are led elsewhere
   std::set<ProxyId> led_elsewhere_;
   Persons persons_;
   std::optional<Instant> person_next_;
--- a/src/coordinator/draw.cpp
+++ b/src/coordinator/draw.cpp
@@ -58,7 +58,8 @@
 
 std::vector<Drawn> draw_tiers(const std::vector<Line>& lines, std::size_t most, double phase) {
   // The usual case, at the price of a look: answers are drawn by the hundred thousand a second.
-  const bool one = std::all_of(lines.begin(), lines.end(), [&](const Line& l) { return l.tier == lines.front().tier; });
+  const bool one =
+      std::all_of(lines.begin(), lines.end(), [&](const Line& l) { return l.tier == lines.front().tier; });
   if (one) return draw_weighted(lines, most, phase);
   std::map<int, std::vector<std::size_t>> tiers;
   for (std::size_t k = 0; k < lines.size(); ++k) tiers[lines[k].tier].push_back(k);
@@ -70,7 +71,8 @@
     const std::size_t places = it == tiers.begin() ? left - kept : std::min(left, kTurnTo);
     std::vector<Line> own;
     for (const auto k : it->second) own.push_back(lines[k]);
-    for (const auto& d : draw_weighted(own, places, phase)) drawn.push_back({it->second[d.place], d.weight}), --left;
+    for (const auto& d : draw_weighted(own, places, phase))
+      drawn.push_back({it->second[d.place], d.weight}), --left;
   }
   std::sort(drawn.begin(), drawn.end(), [](const Drawn& a, const Drawn& b) { return a.place < b.place; });
   return drawn;
--- a/src/coordinator/draw.hpp
+++ b/src/coordinator/draw.hpp
@@ -32,13 +32,15 @@
 
 // For clients that honour weights (SRV): `most` lines. A line whose part is over one in `most` is always in,
 // with its own weight; of the others each is in by its weight (systematic sampling) and weighs the same.
-[[nodiscard]] std::vector<Drawn> draw_weighted(const std::vector<Line>& lines, std::size_t most, double phase);
+[[nodiscard]] std::vector<Drawn> draw_weighted(const std::vector<Line>& lines, std::size_t most,
+                                               double phase);
 
-// The same where lines stand in tiers: the first tier's share the places, but for a few that are kept for each later
-// one, so that there is somewhere to turn when all of it fails.
+// The same where lines stand in tiers: the first tier's share the places, but for a few that are kept for
+// each later one, so that there is somewhere to turn when all of it fails.
 [[nodiscard]] std::vector<Drawn> draw_tiers(const std::vector<Line>& lines, std::size_t most, double phase);
 
 // For clients that take any address alike (A, AAAA): as many as can all be equal, `most` at the most.
-[[nodiscard]] std::vector<std::size_t> draw_equal(const std::vector<Line>& lines, std::size_t most, double phase);
+[[nodiscard]] std::vector<std::size_t> draw_equal(const std::vector<Line>& lines, std::size_t most,
+                                                  double phase);
 
 }  // namespace gorsemount::coordinator
--- a/src/coordinator/evidence.cpp
+++ b/src/coordinator/evidence.cpp
@@ -12,8 +12,9 @@
 
 constexpr std::size_t kHistory = 64;  // samples of `taken`: at two a second, longer than any timeout we met
 
-// One refused connection may fall into a restart's gap that is over at once; with a second, asked for a little
-// later, it is a fact. A cut or slow link does not refuse, it is silent: that stays for the module to judge.
+// One refused connection may fall into a restart's gap that is over at once; with a second, asked for a
+// little later, it is a fact. A cut or slow link does not refuse, it is silent: that stays for the module to
+// judge.
 constexpr int kRefusals = 2;
 
 // Figures that can't be, whatever the worker: a queue is no fraction below 0, processors no more than whole.
@@ -93,8 +94,10 @@
       const double errored = static_cast<double>(fresh.errored - old.errored) + refused;
       const double succeeded = static_cast<double>(fresh.succeeded - old.succeeded);
       Tally& tally = row.tallies[s_.groups[group.value].zone];
-      tally.tries += succeeded + errored, tally.errored += errored, tally.waited += fresh.latency - old.latency;
-      row.taken[{group, c.operation}] += static_cast<int>(fresh.taken - old.taken + fresh.refused - old.refused);
+      tally.tries += succeeded + errored, tally.errored += errored,
+          tally.waited += fresh.latency - old.latency;
+      row.taken[{group, c.operation}] +=
+          static_cast<int>(fresh.taken - old.taken + fresh.refused - old.refused);
     }
     old = fresh;
   }
@@ -138,7 +141,8 @@
 
 bool Evidence::met(const ForwarderMet& met, ZoneId zone) {
   for (const auto& r : met.rows)
-    if (r.errored < 0 || r.errored > r.tries || r.mean_latency < Span{} || r.mean_latency > Span::seconds(3600))
+    if (r.errored < 0 || r.errored > r.tries || r.mean_latency < Span{} ||
+        r.mean_latency > Span::seconds(3600))
       return false;
   for (const auto& r : met.rows) {
     if (r.tries == 0) continue;
@@ -175,7 +179,8 @@
   for (auto& [backend, row] : rows_) {
     for (const auto& [zone, t] : row.tallies) {
       if (t.tries <= 0) continue;
-      BackendReport report{zone, backend, static_cast<int>(t.tries), static_cast<int>(t.errored), {}, over, row.busy};
+      BackendReport report{zone, backend, static_cast<int>(t.tries), static_cast<int>(t.errored), {},
+                           over, row.busy};
       if (t.tries > t.errored) report.mean_latency = Span::seconds(t.waited / (t.tries - t.errored));
       events.emplace_back(report);
     }
--- a/src/coordinator/groups.cpp
+++ b/src/coordinator/groups.cpp
@@ -77,7 +77,8 @@
 double Attendance::usual_rate(ProxyId group) const {
   const auto it = rates_.find(group);
   if (it == rates_.end())
-    return is_forwarder(group) ? s_->forwarders[group.value - kFirstForwarder].usual_rate : s_->groups[group.value].usual_rate;
+    return is_forwarder(group) ? s_->forwarders[group.value - kFirstForwarder].usual_rate
+                               : s_->groups[group.value].usual_rate;
   std::vector<double> sorted{it->second.begin(), it->second.end()};
   const auto middle = sorted.begin() + static_cast<std::ptrdiff_t>(sorted.size() / 2);
   std::nth_element(sorted.begin(), middle, sorted.end());
--- a/src/coordinator/remember.cpp
+++ b/src/coordinator/remember.cpp
@@ -1,5 +1,5 @@
-// What a coordinator tells of itself to others and to its next life, and what it takes from them. What discovery
-// says now outranks memory, but for a drain, which stands till the worker itself says otherwise.
+// What a coordinator tells of itself to others and to its next life, and what it takes from them. What
+// discovery says now outranks memory, but for a drain, which stands till the worker itself says otherwise.
 #include <algorithm>
 #include <utility>
 
@@ -20,12 +20,15 @@
 constexpr std::size_t kParts = 16;
 // A leader hears of a backend's start by its own polls, about as soon as we do; and its table takes a round.
 const Span kLeaderHears = Span::seconds(3);
-// A group's lookups are news again after this long: a quarter of the shortest time that settings allow it to be idle.
+// A group's lookups are news again after this long: a quarter of the shortest time that settings allow it to
+// be idle.
 const Span kSeenNews = Span::seconds(2.5);
 
 Fact of_rung(const Memory::Rung& rung, Instant now) {
   Fact f;
-  f.figures = {{"share", rung.share}, {"falling", rung.falling ? 1 : 0}, {"eased", rung.eased ? 1 : 0},
+  f.figures = {{"share", rung.share},
+               {"falling", rung.falling ? 1 : 0},
+               {"eased", rung.eased ? 1 : 0},
                {"relapses", rung.relapses}};
   f.times = {{"next", now + rung.next_in}, {"changed", now - rung.changed_ago}};
   return f;
@@ -43,11 +46,13 @@
 // Out of range is what no ladder can be; empty then.
 std::optional<Memory::Rung> rung_of(const Fact& f, Instant now) {
   Memory::Rung rung;
-  rung.share = figure(f, "share", -1), rung.falling = figure(f, "falling", 0) > 0, rung.eased = figure(f, "eased", 0) > 0;
+  rung.share = figure(f, "share", -1), rung.falling = figure(f, "falling", 0) > 0,
+  rung.eased = figure(f, "eased", 0) > 0;
   const double relapses = figure(f, "relapses", 0);
   if (!(rung.share >= 0 && rung.share <= 1) || !(relapses >= 0 && relapses <= 1000)) return {};
   rung.relapses = static_cast<int>(relapses);
-  rung.next_in = time_of(f, "next").value_or(now) - now, rung.changed_ago = now - time_of(f, "changed").value_or(now);
+  rung.next_in = time_of(f, "next").value_or(now) - now,
+  rung.changed_ago = now - time_of(f, "changed").value_or(now);
   return rung;
 }
 
@@ -70,7 +75,8 @@
       if (zone.value < s_.zones.size()) all[{Kind::zone_ladder, s_.zones[zone.value]}] = of_rung(rung, now_);
     for (const auto& [key, rung] : m.links)
       if (key.first.value < s_.zones.size() && key.second.value < s_.zones.size())
-        all[{Kind::link_ladder, s_.zones[key.first.value] + ">" + s_.zones[key.second.value]}] = of_rung(rung, now_);
+        all[{Kind::link_ladder, s_.zones[key.first.value] + ">" + s_.zones[key.second.value]}] =
+            of_rung(rung, now_);
     for (const auto& [id, rung] : m.backends)
       if (rows_.contains(id)) all[{Kind::backend_ladder, name_at(id)}] = of_machine(id, of_rung(rung, now_));
     Fact carried;
@@ -91,21 +97,25 @@
     all[{Kind::usual_rate, proxy_name(proxy)}].figures["rate"] = attendance_.usual_rate(proxy);
     if (!is_forwarder(proxy)) {
       const auto bound = bound_.find(proxy);
-      if (bound != bound_.end()) all[{Kind::group_table, proxy_name(proxy)}].figures["table"] = bound->second.value;
+      if (bound != bound_.end())
+        all[{Kind::group_table, proxy_name(proxy)}].figures["table"] = bound->second.value;
     }
   }
   for (const auto& [proxy, seen] : group_seen_)
     if (now_ - seen < s_.group_idle) {
       // In steps, so that it is news now and then and not with each lookup.
       const auto steps = (seen - Instant{}).micros() / kSeenNews.micros();
-      all[{Kind::group_seen, proxy_name(proxy)}].times["seen"] = Instant{} + Span::micros(steps * kSeenNews.micros());
+      all[{Kind::group_seen, proxy_name(proxy)}].times["seen"] =
+          Instant{} + Span::micros(steps * kSeenNews.micros());
     }
   for (const auto& [proxy, part] : retries_.parts())
-    if (std::abs(part - s_.retry_share) > 1e-9) all[{Kind::further_tries, proxy_name(proxy)}].figures["part"] = part;
+    if (std::abs(part - s_.retry_share) > 1e-9)
+      all[{Kind::further_tries, proxy_name(proxy)}].figures["part"] = part;
   for (const auto& [proxy, version] : sent_)
     all[{Kind::sent_table, proxy_name(proxy)}].figures["version"] = static_cast<double>(version);
   for (const auto& [proxy, version] : holds_)
-    if (version > 0) all[{Kind::held_table, proxy_name(proxy)}].figures["version"] = static_cast<double>(version);
+    if (version > 0)
+      all[{Kind::held_table, proxy_name(proxy)}].figures["version"] = static_cast<double>(version);
   std::set<TableId> of_groups;
   for (const auto& [proxy, table] : bound_)
     if (!is_forwarder(proxy)) of_groups.insert(table);
@@ -115,7 +125,8 @@
     const std::string number = std::to_string(id.value);
     for (const auto& [backend, weight] : it->second->lines)
       if (rows_.contains(backend))
-        all[{Kind::table_lines, number + "/" + std::to_string(backend.value % kParts)}].figures[name_at(backend)] = weight;
+        all[{Kind::table_lines, number + "/" + std::to_string(backend.value % kParts)}]
+            .figures[name_at(backend)] = weight;
     Fact levels;
     for (std::size_t k = 0; k < it->second->levels.size() && k < s_.operations.size(); ++k) {
       levels.figures["level " + s_.operations[k].name] = it->second->levels[k].level;
@@ -124,12 +135,15 @@
     if (!levels.figures.empty()) all[{Kind::table_levels, number}] = levels;
   }
   for (const auto& [name, w] : persons_.weights())
-    all[{Kind::person_weight, name}] = {"", {{"weight", w.weight}}, {{"until", w.until}, {"ordered", w.ordered}}};
+    all[{Kind::person_weight, name}] = {
+        "", {{"weight", w.weight}}, {{"until", w.until}, {"ordered", w.ordered}}};
   for (const auto& [name, o] : persons_.outs())
     all[{Kind::person_out, name}] = {"", {{"out", o.out ? 1 : 0}}, {{"ordered", o.ordered}}};
   for (const auto& [name, z] : persons_.zones())
-    all[{Kind::person_zone, name}] = {"", {{"down", z.down ? 1 : 0}, {"from", z.from}}, {{"ordered", z.since}}};
-  if (hold_ordered_) all[{Kind::hold, s_.zones[s_.zone.value]}] = {"", {{"on", hold_ ? 1 : 0}}, {{"ordered", *hold_ordered_}}};
+    all[{Kind::person_zone, name}] = {
+        "", {{"down", z.down ? 1 : 0}, {"from", z.from}}, {{"ordered", z.since}}};
+  if (hold_ordered_)
+    all[{Kind::hold, s_.zones[s_.zone.value]}] = {"", {{"on", hold_ ? 1 : 0}}, {{"ordered", *hold_ordered_}}};
   all[{Kind::fleet, "fleet"}].figures["backends"] = static_cast<double>(listed_);
   return all;
 }
@@ -138,7 +152,8 @@
   if (person_next_ && !persons_.zones().empty()) return true;
   if (!decide_.remember) return false;
   const Memory m = decide_.remember(now_);
-  return std::any_of(m.zones.begin(), m.zones.end(), [](const auto& row) { return row.second.falling || row.second.share < 1; });
+  return std::any_of(m.zones.begin(), m.zones.end(),
+                     [](const auto& row) { return row.second.falling || row.second.share < 1; });
 }
 
 void Coordinator::absorb(const Recalled& e) {
@@ -179,8 +194,12 @@
         if (const auto rung = rung_of(f, now_); rung && from && to) memory.links[{*from, *to}] = *rung;
         break;
       }
-      case Kind::backend_ladder: past_[name].ladder = f; break;
-      case Kind::drain: past_[name].drain = f; break;
+      case Kind::backend_ladder:
+        past_[name].ladder = f;
+        break;
+      case Kind::drain:
+        past_[name].drain = f;
+        break;
       case Kind::cold_start:
         if (f.times.contains("started")) past_[name].cold = f;
         break;
@@ -189,15 +208,22 @@
           if (able > 0) memory.able.push_back(able);
         break;
       case Kind::usual_rate:
-        if (const auto proxy = proxy_at(name)) attendance_.recall(*proxy, std::clamp(figure(f, "rate", 0), 0.0, 1e6));
+        if (const auto proxy = proxy_at(name))
+          attendance_.recall(*proxy, std::clamp(figure(f, "rate", 0), 0.0, 1e6));
         break;
       case Kind::further_tries:
-        if (const auto proxy = proxy_at(name); proxy && is_forwarder(*proxy)) retries_.recall(*proxy, figure(f, "part", s_.retry_share));
+        if (const auto proxy = proxy_at(name); proxy && is_forwarder(*proxy))
+          retries_.recall(*proxy, figure(f, "part", s_.retry_share));
+        break;
+      case Kind::sent_table:
+        sent[name] = static_cast<std::uint64_t>(figure(f, "version", 0));
+        break;
+      case Kind::held_table:
+        held[name] = static_cast<std::uint64_t>(figure(f, "version", 0));
         break;
-      case Kind::sent_table: sent[name] = static_cast<std::uint64_t>(figure(f, "version", 0)); break;
-      case Kind::held_table: held[name] = static_cast<std::uint64_t>(figure(f, "version", 0)); break;
       case Kind::person_weight:
-        if (const auto until = time_of(f, "until"); until && ordered && *until > now_ && figure(f, "weight", 0) > 0)
+        if (const auto until = time_of(f, "until");
+            until && ordered && *until > now_ && figure(f, "weight", 0) > 0)
           persons |= persons_.recall(name, Persons::Weight{figure(f, "weight", 1), *until, *ordered});
         break;
       case Kind::person_out:
@@ -205,31 +231,39 @@
         break;
       case Kind::person_zone:
         if (ordered && zone_at(name))
-          persons |= persons_.recall(name, Persons::Zone{figure(f, "down", 0) > 0, std::clamp(figure(f, "from", 1), 0.0, 1.0), *ordered});
+          persons |= persons_.recall(
+              name,
+              Persons::Zone{figure(f, "down", 0) > 0, std::clamp(figure(f, "from", 1), 0.0, 1.0), *ordered});
         break;
       case Kind::hold:
-        if (ordered && (!hold_ordered_ || *hold_ordered_ < *ordered)) hold_ = figure(f, "on", 0) > 0, hold_ordered_ = ordered;
+        if (ordered && (!hold_ordered_ || *hold_ordered_ < *ordered))
+          hold_ = figure(f, "on", 0) > 0, hold_ordered_ = ordered;
         break;
       case Kind::group_seen:
-        if (const auto proxy = proxy_at(name); proxy && !is_forwarder(*proxy) && !led_elsewhere_.contains(*proxy))
-          if (const auto when = time_of(f, "seen"); when && now_ - *when < s_.group_idle) absorb(LookedUp{*proxy});
+        if (const auto proxy = proxy_at(name);
+            proxy && !is_forwarder(*proxy) && !led_elsewhere_.contains(*proxy))
+          if (const auto when = time_of(f, "seen"); when && now_ - *when < s_.group_idle)
+            absorb(LookedUp{*proxy});
         break;
       case Kind::group_table:
       case Kind::table_lines:
       case Kind::table_levels:
-      case Kind::fleet: break;
+      case Kind::fleet:
+        break;
     }
   }
   for (const auto& [name, version] : sent)
-    if (const auto proxy = proxy_at(name)) half_sent_[*proxy] = !held.contains(name) || held.at(name) != version;
-  if (decide_.recall && (!memory.zones.empty() || !memory.links.empty() || !memory.able.empty())) decide_.recall(now_, memory);
+    if (const auto proxy = proxy_at(name))
+      half_sent_[*proxy] = !held.contains(name) || held.at(name) != version;
+  if (decide_.recall && (!memory.zones.empty() || !memory.links.empty() || !memory.able.empty()))
+    decide_.recall(now_, memory);
   if (persons) person_next_ = persons_.next_change(now_);
   for (const auto& [id, row] : rows_)
     if (persons || past_.contains(row.entry.name)) touched_.insert(id);
 }
 
-// What was remembered of a name counts for the machine that it was remembered of: its place, and its start where
-// both are known.
+// What was remembered of a name counts for the machine that it was remembered of: its place, and its start
+// where both are known.
 void Coordinator::recall_backend(BackendId id, Row& row, Memory& memory) {
   const auto it = past_.find(row.entry.name);
   if (it == past_.end()) return;
@@ -255,8 +289,8 @@
   if (!past.ladder && !past.drain && !past.cold) past_.erase(it);
 }
 
-// What a forwarder is to have for a table: for a while after a restart with memory what it was found to hold, less
-// what is known to drain, to be gone or to be remembered as out; never nothing.
+// What a forwarder is to have for a table: for a while after a restart with memory what it was found to hold,
+// less what is known to drain, to be gone or to be remembered as out; never nothing.
 std::map<BackendId, double> Coordinator::lines_for(ProxyId forwarder, const Table& table) const {
   const auto found = found_.find(forwarder);
   if (found == found_.end()) return table.lines;
@@ -265,7 +299,8 @@
     const auto id = id_of(name);
     const auto row = id ? rows_.find(*id) : rows_.end();
     if (row == rows_.end() || !row->second.listed) continue;
-    if (row->second.told && (!row->second.counts(now_, s_.removal_binds) || !table.lines.contains(*id))) continue;
+    if (row->second.told && (!row->second.counts(now_, s_.removal_binds) || !table.lines.contains(*id)))
+      continue;
     lines[*id] = weight;
   }
   return lines.empty() ? table.lines : lines;
@@ -282,7 +317,8 @@
   for (const auto proxy : over) {
     care_.erase(proxy), half_sent_.erase(proxy);
     const auto held = channel_.in_force().find(proxy);
-    if (held != channel_.in_force().end() && held->second) out_.deliveries.push_back({proxy, wanted_table(proxy, *held->second)});
+    if (held != channel_.in_force().end() && held->second)
+      out_.deliveries.push_back({proxy, wanted_table(proxy, *held->second)});
   }
 }
 
@@ -292,12 +328,14 @@
   if (e.group.value >= s_.groups.size() || led_elsewhere_.contains(e.group) != e.here) return;
   if (e.here) {
     led_elsewhere_.erase(e.group);
-    if (const auto seen = group_seen_.find(e.group); seen != group_seen_.end() && now_ - seen->second < s_.group_idle)
+    if (const auto seen = group_seen_.find(e.group);
+        seen != group_seen_.end() && now_ - seen->second < s_.group_idle)
       absorb(LookedUp{e.group});
     return;
   }
   // What it has stays in force till its new leader is heard.
-  if (const auto held = channel_.in_force().find(e.group); held != channel_.in_force().end()) followed_[e.group] = held->second;
+  if (const auto held = channel_.in_force().find(e.group); held != channel_.in_force().end())
+    followed_[e.group] = held->second;
   led_elsewhere_.insert(e.group);
   for (auto& event : attendance_.left(e.group)) events_.push_back(std::move(event));
   channel_.leave(e.group), bound_.erase(e.group);
@@ -315,9 +353,10 @@
   TablePtr& was = followed_[e.group];
   // Said anew, it counts for a backend that started anew, once its leader must have heard of that too.
   const bool renewed = was && std::any_of(was->lines.begin(), was->lines.end(), [&](const auto& line) {
-    const auto row = rows_.find(line.first);
-    return row != rows_.end() && row->second.learned > was->made && now_ - row->second.learned > kLeaderHears;
-  });
+                         const auto row = rows_.find(line.first);
+                         return row != rows_.end() && row->second.learned > was->made &&
+                                now_ - row->second.learned > kLeaderHears;
+                       });
   if (was && !renewed && was->lines == table.lines && was->levels == table.levels) return;
   table.version = ++table_version_;
   was = std::make_shared<const Table>(std::move(table));
@@ -327,7 +366,8 @@
 // Till a leader's own table has come into force, what was followed before goes on.
 TablePtr Coordinator::table_of_group(ProxyId group) const {
   if (!led_elsewhere_.contains(group))
-    if (const auto held = channel_.in_force().find(group); held != channel_.in_force().end()) return held->second;
+    if (const auto held = channel_.in_force().find(group); held != channel_.in_force().end())
+      return held->second;
   const auto it = followed_.find(group);
   return it == followed_.end() ? TablePtr{} : it->second;
 }
--- a/src/coordinator/types.hpp
+++ b/src/coordinator/types.hpp
@@ -45,12 +45,12 @@
   ZoneId zone;  // where this coordinator stands
   std::vector<std::string> zones;
   std::vector<OperationInfo> operations;
-  std::vector<Group> groups;              // the last one takes whoever fits nowhere else
+  std::vector<Group> groups;  // the last one takes whoever fits nowhere else
   std::vector<Forwarder> forwarders;
-  bool spill = false;                     // flows by tiers of preference between zones (spill/spill.hpp)
-  std::vector<std::vector<int>> tier;     // [proxy zone][backend zone]: 0 own, 1 near, 2 far
-  double fleet_rate = 0;                  // invocations a second that all forwarders together let in; 0: any
-  double retry_share = 0;                 // of first tries that forwarders may try again; 0: as the tables say
+  bool spill = false;                  // flows by tiers of preference between zones (spill/spill.hpp)
+  std::vector<std::vector<int>> tier;  // [proxy zone][backend zone]: 0 own, 1 near, 2 far
+  double fleet_rate = 0;               // invocations a second that all forwarders together let in; 0: any
+  double retry_share = 0;              // of first tries that forwarders may try again; 0: as the tables say
   Span retry_window = Span::seconds(10);
   std::vector<Prefix> trusted_resolvers;  // whose word on a client's subnet counts (RFC 7871)
   bool levels = false;                    // admission levels are published
@@ -87,7 +87,7 @@
     std::uint64_t taken = 0, succeeded = 0, errored = 0, refused = 0;
     double latency = 0;  // of the succeeded ones together, s
   };
-  std::string boot;  // differs between two starts
+  std::string boot;   // differs between two starts
   double uptime = 0;  // s
   bool draining = false;
   std::optional<double> util, queue;
@@ -119,7 +119,7 @@
 };
 struct ForwarderJoined {
   ProxyId forwarder;
-  bool taken_over = false;  // another controller led it before, or may have
+  bool taken_over = false;                   // another controller led it before, or may have
   std::map<std::string, double> holds = {};  // weights of the backends that it picks, as it was found
 };
 struct ForwarderLeft {
@@ -161,20 +161,21 @@
   ProxyId group;
   bool here = true;
 };
-// What the leader of a group that is led elsewhere has it use. Not fresh: nothing is heard of a leader; what stands
-// is kept then, less what rules force, and nothing is raised.
+// What the leader of a group that is led elsewhere has it use. Not fresh: nothing is heard of a leader; what
+// stands is kept then, less what rules force, and nothing is raised.
 struct Followed {
   ProxyId group;
   bool fresh = false;
-  std::map<std::string, double> lines;  // by backend
+  std::map<std::string, double> lines;         // by backend
   std::vector<std::pair<int, double>> levels;  // tries and level, by operation
 };
 // What a reload may change while state is kept: groups, lifetimes, sizes of answers.
 struct Retuned {
   Settings settings;
 };
-using Input = std::variant<RosterHeard, LoadHeard, LoadMissing, HealthHeard, LookedUp, Retuned, ForwarderJoined,
-                           ForwarderLeft, ForwarderMet, ForwarderHolds, PersonOrders, Recalled, GroupLed, Followed>;
+using Input =
+    std::variant<RosterHeard, LoadHeard, LoadMissing, HealthHeard, LookedUp, Retuned, ForwarderJoined,
+                 ForwarderLeft, ForwarderMet, ForwarderHolds, PersonOrders, Recalled, GroupLed, Followed>;
 
 // ---- What is published: immutable, swapped whole --------------------------------------------------------
 
@@ -207,7 +208,7 @@
   std::uint64_t version = 0;
   std::shared_ptr<const std::map<BackendId, Known>> directory;
   std::vector<std::vector<std::shared_ptr<const View>>> views;  // by group, then by operation
-  Span lifetime;  // what an answer may be kept for
+  Span lifetime;                                                // what an answer may be kept for
 };
 
 // ---- Effects -------------------------------------------------------------------------------------------
@@ -241,7 +242,7 @@
     double rate = -1;  // invocations a second that it may let in; below 0: any
   };
   std::vector<Part> parts;
-  double retries = -1;  // of its first tries, that it may try again; below 0: as the levels say
+  double retries = -1;             // of its first tries, that it may try again; below 0: as the levels say
   std::vector<std::string> known;  // names of all backends that there are
 };
 struct Delivery {
@@ -254,7 +255,7 @@
   std::vector<Message> messages;
   std::vector<Delivery> deliveries;
   std::vector<std::string> answers;  // to what persons ordered, in their order; empty: done
-  Instant wake_at;  // step again by then, even with no input
+  Instant wake_at;                   // step again by then, even with no input
 };
 
 }  // namespace gorsemount::coordinator
--- a/src/coordinator/zones.cpp
+++ b/src/coordinator/zones.cpp
@@ -1,6 +1,6 @@
-// Flows between zones: what spill decided is laid over the module's tables, one version for each zone of proxies. Who
-// decides what: the module, which backends may have work and how much beside their like; spill, how a zone of proxies
-// splits between zones of backends; neither gives what the other takes away.
+// Flows between zones: what spill decided is laid over the module's tables, one version for each zone of
+// proxies. Who decides what: the module, which backends may have work and how much beside their like; spill,
+// how a zone of proxies splits between zones of backends; neither gives what the other takes away.
 #include <algorithm>
 
 #include "coordinator/coordinator.hpp"
@@ -9,7 +9,8 @@
 
 namespace {
 
-// No line gets over so many times what the module gave it: a zone of which a single backend is left is not for all.
+// No line gets over so many times what the module gave it: a zone of which a single backend is left is not
+// for all.
 constexpr double kFactorMost = 6;
 // A link of which the module's ladder has left less is cut, as far as flows go.
 constexpr double kLinkGone = 0.05;
@@ -30,18 +31,22 @@
   std::vector<spill::ZoneNow> now(zones);
   std::vector<std::pair<double, double>> busy(zones);  // sum, and of how many
   for (const auto& [id, row] : rows_)
-    if (row.told && row.told->availability == Availability::ready) now[row.entry.zone.value].listed += row.told->weight;
+    if (row.told && row.told->availability == Availability::ready)
+      now[row.entry.zone.value].listed += row.told->weight;
   for (const auto& [id, table] : versions_) {
     // The cuts of the shared table; a zone's own tables repeat their lines.
     if (id.value >= kFirstOwnTable) continue;
     for (const auto& [backend, weight] : table->lines)
-      if (const auto row = rows_.find(backend); row != rows_.end()) now[row->second.entry.zone.value].weight += weight;
+      if (const auto row = rows_.find(backend); row != rows_.end())
+        now[row->second.entry.zone.value].weight += weight;
   }
   double mean_cost = 0, all = 0;
   std::vector<spill::Problem::Class> classes;
-  for (const auto& op : s_.operations) classes.push_back({op.billed_value, op.latency_objective.seconds(), std::vector<double>(zones, 0)});
+  for (const auto& op : s_.operations)
+    classes.push_back({op.billed_value, op.latency_objective.seconds(), std::vector<double>(zones, 0)});
   for (const auto& event : reports)
-    if (const auto* d = std::get_if<DemandReport>(&event); d != nullptr && d->operation.value < classes.size() && d->over > Span{}) {
+    if (const auto* d = std::get_if<DemandReport>(&event);
+        d != nullptr && d->operation.value < classes.size() && d->over > Span{}) {
       const bool front = is_forwarder(d->proxy);
       const std::size_t place = front ? d->proxy.value - kFirstForwarder : d->proxy.value;
       if (place >= (front ? s_.forwarders.size() : s_.groups.size())) continue;
@@ -60,20 +65,23 @@
       for (const auto& round : demands_) sum += round[c].demand[z];
       classes[c].demand[z] = sum / static_cast<double>(demands_.size());
     }
-  // Reports count health calls too, of which each worker gets as many: so what came in is what arrived, and they tell
-  // only whose part of it came back.
+  // Reports count health calls too, of which each worker gets as many: so what came in is what arrived, and
+  // they tell only whose part of it came back.
   double came_back = 0;
   for (const auto& event : reports)
-    if (const auto* r = std::get_if<BackendReport>(&event); r != nullptr && r->over > Span{}) came_back += (r->tries - r->errored) / r->over.seconds();
+    if (const auto* r = std::get_if<BackendReport>(&event); r != nullptr && r->over > Span{})
+      came_back += (r->tries - r->errored) / r->over.seconds();
   for (const auto& event : reports)
-    if (const auto* r = std::get_if<BackendReport>(&event); r != nullptr && r->over > Span{} && came_back > 0) {
+    if (const auto* r = std::get_if<BackendReport>(&event);
+        r != nullptr && r->over > Span{} && came_back > 0) {
       const auto row = rows_.find(r->backend);
       if (row == rows_.end()) continue;
       const std::size_t z = row->second.entry.zone.value;
       now[z].carried += (r->tries - r->errored) / r->over.seconds() / came_back * all * mean_cost;
       if (r->busy) busy[z].first += *r->busy, busy[z].second += 1;
     }
-  for (std::size_t z = 0; z < zones; ++z) now[z].pressure = busy[z].second > 0 ? busy[z].first / busy[z].second : 0;
+  for (std::size_t z = 0; z < zones; ++z)
+    now[z].pressure = busy[z].second > 0 ? busy[z].first / busy[z].second : 0;
   spill::Cut cut;
   if (decide_.remember)
     for (const auto& [link, rung] : decide_.remember(now_).links)
@@ -81,17 +89,20 @@
   const auto d = spill_->decide(now_, now, classes, trips(reports), cut);
   if (d.tiers_doubted != tiers_doubted_) {
     for (std::size_t z = 0; z < d.tiers_doubted.size(); ++z)
-      if (d.tiers_doubted[z] && (tiers_doubted_.empty() || !tiers_doubted_[z])) note(Note::Weight::warning, "tiers_doubted", {{"zone", s_.zones[z]}});
+      if (d.tiers_doubted[z] && (tiers_doubted_.empty() || !tiers_doubted_[z]))
+        note(Note::Weight::warning, "tiers_doubted", {{"zone", s_.zones[z]}});
     tiers_doubted_ = d.tiers_doubted;
   }
   if (d.strain != strain_) {
     std::string lost, drained;
     for (std::size_t z = 0; z < zones; ++z) {
-      if (now[z].listed > 0 && now[z].weight < 0.1 * now[z].listed) lost += (lost.empty() ? "" : " ") + s_.zones[z];
+      if (now[z].listed > 0 && now[z].weight < 0.1 * now[z].listed)
+        lost += (lost.empty() ? "" : " ") + s_.zones[z];
       if (persons_.drained(s_.zones[z])) drained += (drained.empty() ? "" : " ") + s_.zones[z];
     }
     // A person's drain stands all the same: whoever ordered it is told what it costs now.
-    note(Note::Weight::warning, d.strain ? "strain_began" : "strain_over", {{"zones_lost", lost}, {"drained_by_person", drained}});
+    note(Note::Weight::warning, d.strain ? "strain_began" : "strain_over",
+         {{"zones_lost", lost}, {"drained_by_person", drained}});
     strain_ = d.strain;
   }
   share_cuts();
@@ -105,7 +116,8 @@
   std::map<std::pair<TableId, ZoneId>, double> share;
   std::map<ZoneId, double> all;
   for (const auto& [proxy, table] : bound_) {
-    const ZoneId zone = is_forwarder(proxy) ? s_.forwarders[proxy.value - kFirstForwarder].zone : s_.groups[proxy.value].zone;
+    const ZoneId zone =
+        is_forwarder(proxy) ? s_.forwarders[proxy.value - kFirstForwarder].zone : s_.groups[proxy.value].zone;
     const double rate = attendance_.usual_rate(proxy);
     share[{table, zone}] += rate, all[zone] += rate;
   }
@@ -120,17 +132,19 @@
   ++spill_version_;
 }
 
-// The parts of a zone of proxies' work as one cut is to carry them: a cut that has more than its share of a zone's lines
-// takes more of what goes there, so that a worker's load does not hang on the cut it fell into. What a cut has too few
-// lines for goes to the other zones by their lines.
-std::vector<double> Coordinator::parts_of_cut(const Table& table, ZoneId proxies, const std::vector<double>& in_table) const {
+// The parts of a zone of proxies' work as one cut is to carry them: a cut that has more than its share of a
+// zone's lines takes more of what goes there, so that a worker's load does not hang on the cut it fell into.
+// What a cut has too few lines for goes to the other zones by their lines.
+std::vector<double> Coordinator::parts_of_cut(const Table& table, ZoneId proxies,
+                                              const std::vector<double>& in_table) const {
   std::vector<double> parts = parts_of_zones_[proxies.value], total(parts.size(), 0);
   const auto share = cut_shares_.find({table.id, proxies});
   if (share == cut_shares_.end() || share->second <= 0) return parts;
   for (const auto& [id, version] : versions_)
     if (id.value < kFirstOwnTable)
       for (const auto& [backend, weight] : version->lines)
-        if (const auto row = rows_.find(backend); row != rows_.end()) total[row->second.entry.zone.value] += weight;
+        if (const auto row = rows_.find(backend); row != rows_.end())
+          total[row->second.entry.zone.value] += weight;
   double sum = 0, lines = 0;
   for (std::size_t z = 0; z < parts.size(); ++z) {
     parts[z] *= total[z] > 0 ? in_table[z] / total[z] / share->second : 0;
@@ -154,14 +168,17 @@
   return parts;
 }
 
-// Of each round the quickest backends' means, so that a queue is not taken for a long way; of those the middle.
+// Of each round the quickest backends' means, so that a queue is not taken for a long way; of those the
+// middle.
 spill::Trips Coordinator::trips(const std::vector<Event>& reports) {
   spill::Trips quickest;
   for (const auto& event : reports)
-    if (const auto* r = std::get_if<BackendReport>(&event); r != nullptr && r->tries - r->errored >= kTripTries && r->mean_latency > Span{}) {
+    if (const auto* r = std::get_if<BackendReport>(&event);
+        r != nullptr && r->tries - r->errored >= kTripTries && r->mean_latency > Span{}) {
       const auto row = rows_.find(r->backend);
       if (row == rows_.end() || !warm(row->second)) continue;
-      const auto [it, fresh] = quickest.try_emplace({r->proxies_in.value, row->second.entry.zone.value}, r->mean_latency);
+      const auto [it, fresh] =
+          quickest.try_emplace({r->proxies_in.value, row->second.entry.zone.value}, r->mean_latency);
       if (!fresh) it->second = std::min(it->second, r->mean_latency);
     }
   spill::Trips middle;
@@ -185,14 +202,16 @@
   std::vector<double> weight(s_.zones.size(), 0);
   double all = 0;
   for (const auto& [id, w] : table->lines)
-    if (const auto row = rows_.find(id); row != rows_.end()) weight[row->second.entry.zone.value] += w, all += w;
+    if (const auto row = rows_.find(id); row != rows_.end())
+      weight[row->second.entry.zone.value] += w, all += w;
   const auto parts = parts_of_cut(*table, proxies, weight);
   Table fresh = *table;
   bool warm_left = false;
   for (auto it = fresh.lines.begin(); it != fresh.lines.end();) {
     const auto row = rows_.find(it->first);
     const std::size_t z = row == rows_.end() ? 0 : row->second.entry.zone.value;
-    double factor = row == rows_.end() || weight[z] <= 0 ? 1 : std::min(kFactorMost, parts[z] * all / weight[z]);
+    double factor =
+        row == rows_.end() || weight[z] <= 0 ? 1 : std::min(kFactorMost, parts[z] * all / weight[z]);
     // A backend that is starting never gets more than the module's ramp gave it.
     if (row != rows_.end() && !warm(row->second)) factor = std::min(1.0, factor);
     it->second *= factor;
@@ -205,10 +224,10 @@
     ++it;
   }
   if (!warm_left) return made = table;  // rule 1 goes before any preference
-  // What moved by less than a tenth keeps its number, or every round would send every line; but for a backend that is
-  // starting, which must not keep more than it is to have.
-  // Only what a line weighs beside the others counts, so both tables are brought to one scale first: a proxy zone that
-  // has lost a whole zone of lines keeps all that it has left as it is.
+  // What moved by less than a tenth keeps its number, or every round would send every line; but for a backend
+  // that is starting, which must not keep more than it is to have. Only what a line weighs beside the others
+  // counts, so both tables are brought to one scale first: a proxy zone that has lost a whole zone of lines
+  // keeps all that it has left as it is.
   if (made) {
     double before = 0, after = 0;
     for (const auto& [id, w] : fresh.lines)
@@ -223,7 +242,8 @@
     }
   }
   if (proxies.value < turn_to_.size()) fresh.tiers = turn_to_[proxies.value];
-  if (made && made->lines == fresh.lines && made->levels == fresh.levels && made->tiers == fresh.tiers) return made;
+  if (made && made->lines == fresh.lines && made->levels == fresh.levels && made->tiers == fresh.tiers)
+    return made;
   fresh.version = ++table_version_;
   fresh.urgent = table->urgent;
   return made = std::make_shared<const Table>(std::move(fresh));
--- a/src/core/address.cpp
+++ b/src/core/address.cpp
@@ -61,8 +61,9 @@
   const auto slash = text.find('/');
   const auto address = Address::parse(text.substr(0, slash));
   if (!address) return {};
-  const auto length =
-      slash == std::string::npos ? address->bits() : whole(std::string_view{text}.substr(slash + 1), address->bits());
+  const auto length = slash == std::string::npos
+                          ? address->bits()
+                          : whole(std::string_view{text}.substr(slash + 1), address->bits());
   if (!length || masked(*address, *length) != *address) return {};
   return Prefix{*address, *length};
 }
--- a/src/discovery/list.hpp
+++ b/src/discovery/list.hpp
@@ -2,12 +2,11 @@
 #pragma once
 
 #include <cstdint>
+#include <nlohmann/json.hpp>
 #include <string>
 #include <string_view>
 #include <vector>
 
-#include <nlohmann/json.hpp>
-
 namespace gorsemount::discovery {
 
 enum class Health { ready, draining, gone };
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -40,7 +40,11 @@
 };
 
 Watch::Watch(net::Loop& loop, Endpoint to, Timeouts timeouts, std::uint64_t seed, Callbacks callbacks)
-    : loop_{loop}, to_{to}, timeouts_{timeouts}, callbacks_{std::move(callbacks)}, chance_{static_cast<std::uint32_t>(seed)} {}
+    : loop_{loop},
+      to_{to},
+      timeouts_{timeouts},
+      callbacks_{std::move(callbacks)},
+      chance_{static_cast<std::uint32_t>(seed)} {}
 
 Watch::~Watch() {
   *alive_ = false;
@@ -57,7 +61,8 @@
   if (to == to_) return;
   to_ = to;
   if (asking_) retire(asking_);  // it asks at the old address
-  if (!standing_ || !(standing_->at == to_)) start();  // back at an address whose watch stands, nothing is to ask
+  if (!standing_ || !(standing_->at == to_))
+    start();  // back at an address whose watch stands, nothing is to ask
 }
 
 // The call ends with `why`, unless it is expected anew before.
@@ -83,7 +88,8 @@
           if (!current(*call)) return bytes.size();
           // An answer in pieces goes on as long as they come, and not for ever.
           if (!call->stands)
-            expect(*call, std::min(loop_.now() + timeouts_.silence, call->begun + timeouts_.whole), "its answer broke off");
+            expect(*call, std::min(loop_.now() + timeouts_.silence, call->begun + timeouts_.whole),
+                   "its answer broke off");
           const std::size_t used = call->answer.feed(bytes);
           if (used > 0) answered(*call);
           return used;
@@ -165,7 +171,8 @@
     return false;
   };
   if (text.find_first_not_of(" \r\t") == std::string_view::npos) {
-    // A list that was asked for can't be nothing: taken for one, it would be asked for again at once, and for ever.
+    // A list that was asked for can't be nothing: taken for one, it would be asked for again at once, and for
+    // ever.
     if (!call.watches) return resync("an empty answer");
     stands(call);
     return true;
@@ -180,8 +187,9 @@
   if (listing.version < version_) {
     // Changes on top of a version that is newer than they are: discovery lost its memory.
     if (!listing.whole) return resync("changes to an older list");
-    // A whole list that is older than ours is late, or discovery began anew: it is asked once more, and a second
-    // one counts. Guards against bringing back what is gone and taking away what is there by an answer that lags.
+    // A whole list that is older than ours is late, or discovery began anew: it is asked once more, and a
+    // second one counts. Guards against bringing back what is gone and taking away what is there by an answer
+    // that lags.
     if (!std::exchange(older_once_, true)) return resync("a whole list older than ours");
   }
   older_once_ = false;
--- a/src/discovery/watch.hpp
+++ b/src/discovery/watch.hpp
@@ -1,7 +1,8 @@
 // Discovery over HTTP: a watch that brings changes, and the whole list where changes can't be trusted.
-// One call at a time, and one watch. Where the watch falls silent, or the address changes, another is asked for beside
-// it, and the old one stands till that answers or it ends. When to ask again with none left is the caller's to say.
-// Times by chance are from the given seed: coordinators that share the service must not meet there again and again.
+// One call at a time, and one watch. Where the watch falls silent, or the address changes, another is asked
+// for beside it, and the old one stands till that answers or it ends. When to ask again with none left is the
+// caller's to say. Times by chance are from the given seed: coordinators that share the service must not meet
+// there again and again.
 #pragma once
 
 #include <functional>
@@ -20,14 +21,17 @@
 
 class Watch {
  public:
-  // An empty line comes every 2 s, and all counts as told after 6: a silence, a dial and its answer fit into that.
+  // An empty line comes every 2 s, and all counts as told after 6: a silence, a dial and its answer fit into
+  // that.
   struct Timeouts {
-    Span connect = Span::seconds(1);    // to a machine that is there it takes milliseconds
-    Span answer = Span::seconds(2.5);   // to its first byte: a call waits 2 s in the service at most
-    Span silence = Span::seconds(2.4);  // of a watch, from its last whole line; of an answer in pieces, from its last byte
-    Span dead = Span::seconds(6);       // a watch without a line for this long has ended
-    Span whole = Span::seconds(15);     // an answer may take this long if bytes keep coming
-    Span again = Span::seconds(0.4);    // beside a watch that stands: half as long to half as long again, by chance
+    Span connect = Span::seconds(1);   // to a machine that is there it takes milliseconds
+    Span answer = Span::seconds(2.5);  // to its first byte: a call waits 2 s in the service at most
+    Span silence = Span::seconds(
+        2.4);  // of a watch, from its last whole line; of an answer in pieces, from its last byte
+    Span dead = Span::seconds(6);    // a watch without a line for this long has ended
+    Span whole = Span::seconds(15);  // an answer may take this long if bytes keep coming
+    Span again =
+        Span::seconds(0.4);  // beside a watch that stands: half as long to half as long again, by chance
   };
   // Called from the loop, never from within a call made here.
   struct Callbacks {
@@ -41,7 +45,7 @@
   Watch& operator=(const Watch&) = delete;
 
   void resume_from(std::uint64_t version) { version_ = version; }  // changes after it are asked for
-  void subscribe();  // asks, unless a call is under way; with a watch that stands it does nothing
+  void subscribe();        // asks, unless a call is under way; with a watch that stands it does nothing
   void subscribe_later();  // the same soon, at a time by chance
   void set_endpoint(Endpoint to);
   [[nodiscard]] std::uint64_t version() const { return version_; }
@@ -66,8 +70,8 @@
   Callbacks callbacks_;
   std::mt19937 chance_;
   std::uint64_t version_ = 0;
-  bool needs_resync_ = false;     // changes may be missing: the whole list is due
-  bool older_once_ = false;       // a whole list older than ours has come, and none newer since
+  bool needs_resync_ = false;  // changes may be missing: the whole list is due
+  bool older_once_ = false;    // a whole list older than ours has come, and none newer since
   net::Loop::Timer quiet_, again_;
   std::unique_ptr<Call> standing_, asking_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/dns/front.cpp
+++ b/src/dns/front.cpp
@@ -14,10 +14,10 @@
 
 namespace {
 
-constexpr std::uint16_t kOwner = 0xc00c;       // the question's name, where every answer begins
-constexpr double kWeightTop = 10000;           // of the heaviest line: a hundredth of a hundredth still counts
-constexpr std::uint16_t kPriority = 10;        // of the first tier
-constexpr int kTiers = 3;                      // own, near, far
+constexpr std::uint16_t kOwner = 0xc00c;  // the question's name, where every answer begins
+constexpr double kWeightTop = 10000;      // of the heaviest line: a hundredth of a hundredth still counts
+constexpr std::uint16_t kPriority = 10;   // of the first tier
+constexpr int kTiers = 3;                 // own, near, far
 
 void put16(std::string& out, std::uint16_t v) {
   out.push_back(static_cast<char>(v >> 8U)), out.push_back(static_cast<char>(v));
@@ -45,9 +45,9 @@
   Counts counts;
   Code code = Code::no_error;
   bool truncated = false;
-  bool negative = false;     // a SOA in the authority section says how long that holds (RFC 2308)
+  bool negative = false;  // a SOA in the authority section says how long that holds (RFC 2308)
   unsigned scope = 0;
-  std::size_t limit = 0;     // bytes, the OPT record not counted
+  std::size_t limit = 0;  // bytes, the OPT record not counted
 };
 
 Front::Front(FrontSettings settings, std::shared_ptr<const coordinator::GroupMap> groups)
@@ -76,7 +76,8 @@
     names_[label(s_.operations[k])] = {What::service, k, {}};
     names_[label("_" + s_.operations[k]) + label("_tcp")] = {What::srv, k, {}};
   }
-  for (const auto& [id, known] : *published_->directory) names_[label(known.name) + label("w")] = {What::worker, 0, id};
+  for (const auto& [id, known] : *published_->directory)
+    names_[label(known.name) + label("w")] = {What::worker, 0, id};
 }
 
 // Lines as records, each with the weight that it has in this answer. `base`: where the answer section begins,
@@ -85,7 +86,9 @@
                       const Ready& ready) const {
   // Weights count among records of one priority (RFC 2782).
   std::array<double, kTiers> heaviest{};
-  const auto tier_of = [&](const Drawn& d) { return static_cast<std::size_t>(std::clamp(ready.view->lines[d.place].tier, 0, kTiers - 1)); };
+  const auto tier_of = [&](const Drawn& d) {
+    return static_cast<std::size_t>(std::clamp(ready.view->lines[d.place].tier, 0, kTiers - 1));
+  };
   for (const auto& d : drawn) heaviest[tier_of(d)] = std::max(heaviest[tier_of(d)], d.weight);
   for (const auto& d : drawn) {
     const std::size_t tier = tier_of(d);
@@ -94,7 +97,8 @@
     head(out, kOwner, Type::SRV, ready.ttl, 6 + target.size());
     // Never 0 for a line that is wanted: RFC 2782 gives such a record next to nothing.
     const double weight = std::max(1.0, std::round(d.weight / heaviest[tier] * kWeightTop));
-    put16(out, static_cast<std::uint16_t>(kPriority + tier)), put16(out, static_cast<std::uint16_t>(weight)), put16(out, at.port);
+    put16(out, static_cast<std::uint16_t>(kPriority + tier)), put16(out, static_cast<std::uint16_t>(weight)),
+        put16(out, at.port);
     const std::size_t place = base + out.size();
     out += target;
     if (place < 0x4000) {
@@ -120,9 +124,8 @@
     all.push_back({k, line.weight});
   }
   if (all.size() <= s_.lines_most) {
-    const std::size_t base =
-        kHeader + label("_" + s_.operations[ready->view->operation.value]).size() + label("_tcp").size() +
-        origin_.size() + 4;
+    const std::size_t base = kHeader + label("_" + s_.operations[ready->view->operation.value]).size() +
+                             label("_tcp").size() + origin_.size() + 4;
     write_srv(ready->srv, ready->glue, base, all, *ready);
     ready->lines = static_cast<std::uint16_t>(all.size());
   }
@@ -191,14 +194,16 @@
       return;
     }
     std::vector<Endpoint> at;
-    for (const auto k : coordinator::draw_equal(v6 ? ready.lines_v6 : ready.lines_v4, s_.addresses_most, ready.phase.next()))
+    for (const auto k :
+         coordinator::draw_equal(v6 ? ready.lines_v6 : ready.lines_v4, s_.addresses_most, ready.phase.next()))
       at.push_back(ready.at[places[k]]);
     addresses(w, q, at, ready.ttl, reply);
   } else if (q.type == Type::TXT) {
-    const std::string text = fmt::format("level={:.3f} tries={}", std::min(1.0, level.level),
-                                         static_cast<int>(level.tries));
+    const std::string text =
+        fmt::format("level={:.3f} tries={}", std::min(1.0, level.level), static_cast<int>(level.tries));
     w.u16(kOwner), w.u16(static_cast<std::uint16_t>(Type::TXT)), w.u16(kIn), w.u32(ready.ttl);
-    w.u16(static_cast<std::uint16_t>(text.size() + 1)), w.u8(static_cast<std::uint8_t>(text.size())), w.text(text);
+    w.u16(static_cast<std::uint16_t>(text.size() + 1)), w.u8(static_cast<std::uint8_t>(text.size())),
+        w.text(text);
     reply.counts.answer = 1;
   } else {
     reply.negative = true;
--- a/src/dns/front.hpp
+++ b/src/dns/front.hpp
@@ -30,7 +30,8 @@
 };
 
 struct FrontCounters {
-  std::uint64_t answers = 0, truncated = 0, refused = 0, format = 0, no_name = 0, rate_limited = 0, dropped = 0;
+  std::uint64_t answers = 0, truncated = 0, refused = 0, format = 0, no_name = 0, rate_limited = 0,
+                dropped = 0;
 };
 
 class Front {
@@ -42,8 +43,8 @@
                std::shared_ptr<const coordinator::GroupMap> groups);
 
   struct Answered {
-    std::size_t size = 0;               // 0: nothing to send
-    std::optional<ProxyId> looked_up;   // whose clients asked for an operation
+    std::size_t size = 0;              // 0: nothing to send
+    std::optional<ProxyId> looked_up;  // whose clients asked for an operation
   };
   // `most`: what the transport carries; `udp`: the asker's own limit holds too.
   [[nodiscard]] Answered answer(std::span<const std::uint8_t> in, const Address& from, bool udp,
@@ -62,11 +63,11 @@
     std::shared_ptr<const coordinator::View> view;
     std::uint32_t ttl = 0;
     const void* directory = nullptr;
-    std::vector<std::string> targets;          // names in wire form, by line
-    std::vector<Endpoint> at;                  // by line
-    std::string srv, glue;                     // all lines
+    std::vector<std::string> targets;  // names in wire form, by line
+    std::vector<Endpoint> at;          // by line
+    std::string srv, glue;             // all lines
     std::uint16_t lines = 0;
-    std::vector<std::size_t> v4, v6;           // places of the lines of each family
+    std::vector<std::size_t> v4, v6;  // places of the lines of each family
     std::vector<coordinator::Line> lines_v4, lines_v6;
     coordinator::Phase phase;
     coordinator::Admission admission;
@@ -75,19 +76,20 @@
 
   void make_names();
   [[nodiscard]] std::shared_ptr<Ready> make_ready(std::shared_ptr<const coordinator::View> view) const;
-  void write_srv(std::string& out, std::string& glue, std::size_t base, const std::vector<coordinator::Drawn>& drawn,
-                 const Ready& ready) const;
+  void write_srv(std::string& out, std::string& glue, std::size_t base,
+                 const std::vector<coordinator::Drawn>& drawn, const Ready& ready) const;
   void soa(Writer& w, std::uint16_t owner, std::uint32_t ttl) const;
   void answer_service(Writer& w, const Query& q, Ready& ready, Reply& reply);
   void answer_srv(Writer& w, const Query& q, Ready& ready, Reply& reply);
-  void addresses(Writer& w, const Query& q, const std::vector<Endpoint>& at, std::uint32_t ttl, Reply& reply) const;
+  void addresses(Writer& w, const Query& q, const std::vector<Endpoint>& at, std::uint32_t ttl,
+                 Reply& reply) const;
 
   FrontSettings s_;
   Name origin_, hostmaster_, workers_;
   std::vector<Name> nameservers_;
   std::shared_ptr<const coordinator::GroupMap> groups_;
   std::shared_ptr<const coordinator::Published> published_;
-  std::unordered_map<std::string, Entry> names_;  // by the labels before the origin
+  std::unordered_map<std::string, Entry> names_;            // by the labels before the origin
   std::vector<std::vector<std::shared_ptr<Ready>>> ready_;  // by group, by operation
   FrontCounters counters_;
 };
--- a/src/dns/message.cpp
+++ b/src/dns/message.cpp
@@ -81,7 +81,8 @@
     const auto dot = std::min(text.find('.'), text.size());
     if (dot == 0 || dot > 63) return {};
     out.push_back(static_cast<char>(dot));
-    for (const char c : text.substr(0, dot)) out.push_back(static_cast<char>(lower(static_cast<std::uint8_t>(c))));
+    for (const char c : text.substr(0, dot))
+      out.push_back(static_cast<char>(lower(static_cast<std::uint8_t>(c))));
     text.remove_prefix(std::min(dot + 1, text.size()));
   }
   out.push_back('\0');
@@ -150,10 +151,11 @@
   out_[at] = static_cast<std::uint8_t>(v >> 8U), out_[at + 1] = static_cast<std::uint8_t>(v);
 }
 
-void begin_answer(Writer& w, std::span<const std::uint8_t> in, const Query& q, Code code, bool authoritative) {
+void begin_answer(Writer& w, std::span<const std::uint8_t> in, const Query& q, Code code,
+                  bool authoritative) {
   const auto flags = static_cast<std::uint16_t>(
-      kResponse | q.opcode << 11U | (authoritative ? kAuthoritative : 0U) | (q.recursion_desired ? kRecursion : 0U) |
-      (static_cast<std::uint16_t>(code) & 0xfU));
+      kResponse | q.opcode << 11U | (authoritative ? kAuthoritative : 0U) |
+      (q.recursion_desired ? kRecursion : 0U) | (static_cast<std::uint16_t>(code) & 0xfU));
   w.u16(q.id), w.u16(flags), w.u16(q.question > 0 ? 1 : 0);
   w.u16(0), w.u16(0), w.u16(0);
   if (q.question > 0) w.bytes(in.subspan(kHeader, q.question));
--- a/src/dns/message.hpp
+++ b/src/dns/message.hpp
@@ -14,10 +14,28 @@
 
 namespace gorsemount::dns {
 
-enum class Type : std::uint16_t { A = 1, NS = 2, SOA = 6, HINFO = 13, TXT = 16, AAAA = 28, SRV = 33, OPT = 41,
-                                  IXFR = 251, AXFR = 252, ANY = 255 };
-enum class Code : std::uint16_t { no_error = 0, format = 1, server_failure = 2, no_name = 3, not_implemented = 4,
-                                  refused = 5, bad_version = 16 };
+enum class Type : std::uint16_t {
+  A = 1,
+  NS = 2,
+  SOA = 6,
+  HINFO = 13,
+  TXT = 16,
+  AAAA = 28,
+  SRV = 33,
+  OPT = 41,
+  IXFR = 251,
+  AXFR = 252,
+  ANY = 255
+};
+enum class Code : std::uint16_t {
+  no_error = 0,
+  format = 1,
+  server_failure = 2,
+  no_name = 3,
+  not_implemented = 4,
+  refused = 5,
+  bad_version = 16
+};
 inline constexpr std::uint16_t kIn = 1, kAnyClass = 255;
 inline constexpr std::size_t kHeader = 12;
 inline constexpr std::size_t kNameMost = 255;  // RFC 1035, section 3.1
@@ -37,8 +55,8 @@
   std::uint16_t id = 0;
   std::uint8_t opcode = 0;
   bool recursion_desired = false;
-  Name name;                   // lower case, for looking up
-  std::size_t question = 0;    // bytes of the question section, to be copied back as asked
+  Name name;                 // lower case, for looking up
+  std::size_t question = 0;  // bytes of the question section, to be copied back as asked
   Type type = Type::A;
   std::uint16_t rr_class = kIn;
   bool edns = false;
--- a/src/dns/server.cpp
+++ b/src/dns/server.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr std::size_t kTcpMost = 65535;      // RFC 7766, section 8: the length is 16 bits
+constexpr std::size_t kTcpMost = 65535;          // RFC 7766, section 8: the length is 16 bits
 constexpr std::size_t kUnsentMost = 512 * 1024;  // answers that a peer has not read yet
 
 }  // namespace
@@ -33,7 +33,9 @@
   const std::uint64_t number = ++number_;
   connections_[number] = net::Connection::make(
       loop_, std::move(fd), {kTcpMost + 2, kUnsentMost, s_.tcp_idle},
-      [this, number, source = from.address](std::string_view bytes) { return tcp_data(number, source, bytes); },
+      [this, number, source = from.address](std::string_view bytes) {
+        return tcp_data(number, source, bytes);
+      },
       [this, number](const char*) { connections_.erase(number); });
 }
 
@@ -54,7 +56,8 @@
     return bytes.size();
   }
   std::string framed;
-  framed.push_back(static_cast<char>(answered.size >> 8U)), framed.push_back(static_cast<char>(answered.size));
+  framed.push_back(static_cast<char>(answered.size >> 8U)),
+      framed.push_back(static_cast<char>(answered.size));
   framed.append(reinterpret_cast<const char*>(out_.data()), answered.size);
   connection->send(framed);
   return 2 + size;
--- a/src/forwarders/counters.cpp
+++ b/src/forwarders/counters.cpp
@@ -17,7 +17,8 @@
         continue;
       }
       if (now.tries < was->second.tries || now.errored < was->second.errored) told.restarted = true;
-      // What errored now may have been tried before the last reading: a try counts when it is known how it ended.
+      // What errored now may have been tried before the last reading: a try counts when it is known how it
+      // ended.
       const std::uint64_t errored = now.errored - was->second.errored;
       told.since.servers[key] = {std::max(now.tries - was->second.tries, errored), errored, now.mean_latency};
     }
--- a/src/forwarders/counters.hpp
+++ b/src/forwarders/counters.hpp
@@ -27,7 +27,7 @@
   struct Told {
     bool restarted = false;
     bool impossible = false;  // more errored than tried in all: nothing of it is told
-    Reading since;  // differences
+    Reading since;            // differences
   };
   // The first reading, and one after a restart, tell nothing: what was counted before is no news.
   [[nodiscard]] Told read(const Reading& reading);
--- a/src/forwarders/plan.cpp
+++ b/src/forwarders/plan.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr const char* kRetries = "retries";  // of all operations: thousandths of first tries
-constexpr int kNoRate = 1'000'000'000;  // tenths a second: more than any forwarder meets
+constexpr int kNoRate = 1'000'000'000;       // tenths a second: more than any forwarder meets
 
 struct Line {
   std::string worker;
@@ -44,7 +44,8 @@
       return;
     }
     // The number first: a line that comes back must not come back with what it had.
-    if (it->second.weight != number) change({Change::What::weight, "", line.worker, number, State::ready, {}});
+    if (it->second.weight != number)
+      change({Change::What::weight, "", line.worker, number, State::ready, {}});
     if (now_.lines.at({operation_, line.worker}).state != State::ready)
       change({Change::What::state, "", line.worker, 0, State::ready, {}});
   }
@@ -81,18 +82,21 @@
     if (l.moved) moving += l.is_to_have;
   }
   const double warm_least = std::min(warm_had, warm_to_have - moving);
-  // 1. Cold lines down: the warm weight beside them will at some time be the least of what it was and is to be.
+  // 1. Cold lines down: the warm weight beside them will at some time be the least of what it was and is to
+  // be.
   for (const auto& [name, l] : lines) {
     if (!l.cold || l.had == 0 || l.moved) continue;
     int safe = std::min(l.had, l.is_to_have);
     if (warm_least > 0)
-      safe = std::min(safe, static_cast<int>(std::max(l.had / warm_had, l.is_to_have / warm_to_have) * warm_least + 1e-9));
+      safe = std::min(safe, static_cast<int>(
+                                std::max(l.had / warm_had, l.is_to_have / warm_to_have) * warm_least + 1e-9));
     if (safe < l.had) planner.bring(l, safe);
   }
   // 2. Warm lines up: whoever may go next, there is someone to pick.
   for (const auto& [name, l] : lines)
     if (!l.cold && !l.moved && l.is_to_have > l.had) planner.bring(l, l.is_to_have);
-  // 3. Warm lines down, and out; another address is another process, which gets nothing until it stands as wanted.
+  // 3. Warm lines down, and out; another address is another process, which gets nothing until it stands as
+  // wanted.
   for (const auto& [name, l] : lines)
     if (!l.cold && !l.moved && l.is_to_have > 0 && l.is_to_have < l.had) planner.bring(l, l.is_to_have);
   const auto out = [&] {
@@ -122,7 +126,8 @@
   for (const auto& [name, l] : lines) {
     const auto it = held.lines.find({part.operation, name});
     if (l.known || l.is_to_have > 0 || it == held.lines.end()) continue;
-    if (it->second.state != State::maint) planner.change({Change::What::state, "", name, 0, State::maint, {}});
+    if (it->second.state != State::maint)
+      planner.change({Change::What::state, "", name, 0, State::maint, {}});
     planner.change({Change::What::remove, "", name, 0, State::ready, {}});
   }
   return planner.take();
@@ -147,7 +152,8 @@
 std::map<std::string, int> values_of(const WantedTable& wanted) {
   std::map<std::string, int> values;
   for (const auto& part : wanted.parts) {
-    values["level_" + part.operation] = static_cast<int>(std::lround(1000 * std::clamp(part.level.level, 0.0, 1.0)));
+    values["level_" + part.operation] =
+        static_cast<int>(std::lround(1000 * std::clamp(part.level.level, 0.0, 1.0)));
     values["tries_" + part.operation] = static_cast<int>(part.level.tries);
     values["rate_" + part.operation] =
         part.rate < 0 ? kNoRate : static_cast<int>(std::lround(std::min(part.rate * 10, 1.0 * kNoRate)));
@@ -184,12 +190,21 @@
   }
   HeldLine& line = held.lines[key];
   switch (c.what) {
-    case Change::What::add: line = {c.at, c.number, State::ready}; break;
-    case Change::What::weight: line.weight = c.number; break;
-    case Change::What::state: line.state = c.state; break;
-    case Change::What::address: line.at = c.at; break;
+    case Change::What::add:
+      line = {c.at, c.number, State::ready};
+      break;
+    case Change::What::weight:
+      line.weight = c.number;
+      break;
+    case Change::What::state:
+      line.state = c.state;
+      break;
+    case Change::What::address:
+      line.at = c.at;
+      break;
     case Change::What::remove:
-    case Change::What::value: break;
+    case Change::What::value:
+      break;
   }
 }
 
--- a/src/forwarders/plan.hpp
+++ b/src/forwarders/plan.hpp
@@ -1,5 +1,5 @@
-// Decides how a forwarder gets from what it holds to what it is to hold: whole weights from real ones, and the
-// order of changes, which is safe at every prefix. Free of I/O and of any protocol's words.
+// Decides how a forwarder gets from what it holds to what it is to hold: whole weights from real ones, and
+// the order of changes, which is safe at every prefix. Free of I/O and of any protocol's words.
 #pragma once
 
 #include <map>
@@ -43,18 +43,18 @@
 // its number. A wanted line is never 0; a cold one is rounded down, since more than its part could tip it.
 [[nodiscard]] std::vector<int> whole_weights(const std::vector<coordinator::WantedLine>& lines);
 
-// The changes from `held` to `wanted`, in an order that is safe wherever it is cut off: no line that is to get
-// nothing is ever raised; and, as long as some wanted warm line keeps its address, the forwarder is never left
-// without a worker to pick if it had one, and no cold worker's weight beside the warm ones' ever exceeds both
-// what it was and what it is to be.
-// `with_values`: whether the forwarder can take levels and rates.
-[[nodiscard]] std::vector<Change> plan(const Held& held, const coordinator::WantedTable& wanted, bool with_values);
+// The changes from `held` to `wanted`, in an order that is safe wherever it is cut off: no line that is to
+// get nothing is ever raised; and, as long as some wanted warm line keeps its address, the forwarder is never
+// left without a worker to pick if it had one, and no cold worker's weight beside the warm ones' ever exceeds
+// both what it was and what it is to be. `with_values`: whether the forwarder can take levels and rates.
+[[nodiscard]] std::vector<Change> plan(const Held& held, const coordinator::WantedTable& wanted,
+                                       bool with_values);
 
 // What a change does to a forwarder.
 void apply(Held& held, const Change& change);
 
-// The names of an operation's values, and their numbers: parts in thousandths, rates in tenths a second; and `retries`,
-// of all operations together.
+// The names of an operation's values, and their numbers: parts in thousandths, rates in tenths a second; and
+// `retries`, of all operations together.
 [[nodiscard]] std::map<std::string, int> values_of(const coordinator::WantedTable& wanted);
 
 }  // namespace gorsemount::forwarders
--- a/src/hears/load_reply.cpp
+++ b/src/hears/load_reply.cpp
@@ -1,7 +1,6 @@
 #include "hears/load_reply.hpp"
 
 #include <nlohmann/json.hpp>
-
 #include <stdexcept>
 
 namespace gorsemount::hears {
@@ -10,7 +9,7 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t kCountsMost = 20000;   // operations times sources; more is no worker of ours
+constexpr std::size_t kCountsMost = 20000;           // operations times sources; more is no worker of ours
 constexpr std::uint64_t kCounterMost = 1ULL << 53U;  // beyond it a JSON number is not exact
 
 struct Unfit : std::runtime_error {
@@ -42,7 +41,8 @@
 }
 
 coordinator::LoadSample::Count read_count(const Json& in, const std::string& where,
-                                          const std::vector<coordinator::OperationInfo>& operations, bool& known) {
+                                          const std::vector<coordinator::OperationInfo>& operations,
+                                          bool& known) {
   if (!in.is_object()) throw Unfit{where + "is not an object"};
   coordinator::LoadSample::Count c;
   const Json& name = need(in, "operation", where);
@@ -77,12 +77,14 @@
     sample.boot = boot.get<std::string>();
     sample.uptime = number(need(in, "uptime_s", ""), "uptime_s", "");
     if (const auto state = in.find("state"); state != in.end()) {
-      if (*state != "ready" && *state != "draining") return std::string{"'state' is neither ready nor draining"};
+      if (*state != "ready" && *state != "draining")
+        return std::string{"'state' is neither ready nor draining"};
       sample.draining = *state == "draining";
     }
     sample.util = maybe(in, "util"), sample.queue = maybe(in, "queue");
     if (const auto counts = in.find("counts"); counts != in.end()) {
-      if (!counts->is_array() || counts->size() > kCountsMost) return std::string{"'counts' is not a list of 20000 at most"};
+      if (!counts->is_array() || counts->size() > kCountsMost)
+        return std::string{"'counts' is not a list of 20000 at most"};
       for (std::size_t k = 0; k < counts->size(); ++k) {
         bool known = false;
         auto count = read_count((*counts)[k], "counts[" + std::to_string(k) + "]: ", operations, known);
--- a/src/hears/prober.cpp
+++ b/src/hears/prober.cpp
@@ -13,7 +13,8 @@
 }  // namespace
 
 struct Prober::Asked {
-  Asked(net::Loop& loop, const Endpoint& to) : at{to}, loop_of{loop}, health{loop, to}, load{loop, to, {}, kReplyMost} {}
+  Asked(net::Loop& loop, const Endpoint& to)
+      : at{to}, loop_of{loop}, health{loop, to}, load{loop, to, {}, kReplyMost} {}
   ~Asked() { loop_of.cancel(next_health), loop_of.cancel(next_load); }
   Endpoint at;
   net::Loop& loop_of;
@@ -44,16 +45,17 @@
 }
 
 void Prober::health(BackendId id) {
-  asked_.at(id)->health.ask({"GET", s_.health_path, {}, {}, true}, s_.health_timeout, [this, id](net::HttpClient::Result r) {
-    using Outcome = net::HttpClient::Outcome;
-    const bool well = r.outcome == Outcome::answered && r.response.status == 200;
-    const auto health = well                             ? coordinator::Health::well
-                        : r.outcome == Outcome::refused ? coordinator::Health::refused
-                                                        : coordinator::Health::failed;
-    // One failed call proves little: more follow soon, so that the next round can tell.
-    health_in(id, well ? std::max(Span{}, s_.health_every - r.took) : s_.health_again);
-    report_(coordinator::HealthHeard{id, health, r.took});
-  });
+  asked_.at(id)->health.ask(
+      {"GET", s_.health_path, {}, {}, true}, s_.health_timeout, [this, id](net::HttpClient::Result r) {
+        using Outcome = net::HttpClient::Outcome;
+        const bool well = r.outcome == Outcome::answered && r.response.status == 200;
+        const auto health = well                            ? coordinator::Health::well
+                            : r.outcome == Outcome::refused ? coordinator::Health::refused
+                                                            : coordinator::Health::failed;
+        // One failed call proves little: more follow soon, so that the next round can tell.
+        health_in(id, well ? std::max(Span{}, s_.health_every - r.took) : s_.health_again);
+        report_(coordinator::HealthHeard{id, health, r.took});
+      });
 }
 
 void Prober::health_in(BackendId id, Span wait) {
--- a/src/lab/replay/compare.cpp
+++ b/src/lab/replay/compare.cpp
@@ -15,7 +15,8 @@
 
 std::string escaped(const std::string& text) {
   std::string out;
-  for (const char c : text) out += c == '<' ? "&lt;" : c == '>' ? "&gt;" : c == '&' ? "&amp;" : c == '"' ? "&quot;" : std::string{c};
+  for (const char c : text)
+    out += c == '<' ? "&lt;" : c == '>' ? "&gt;" : c == '&' ? "&amp;" : c == '"' ? "&quot;" : std::string{c};
   return out;
 }
 
@@ -24,7 +25,8 @@
   std::string name;
   std::vector<std::pair<double, double>> points;
 };
-std::string plot(const std::string& title, const std::string& x_name, const std::vector<Series>& series, double y_most) {
+std::string plot(const std::string& title, const std::string& x_name, const std::vector<Series>& series,
+                 double y_most) {
   constexpr double kWide = 720, kHigh = 220, kLeft = 52, kBelow = 36;
   constexpr std::array<const char*, 6> dashes{"", "7 4", "2 3", "10 3 2 3", "1 5", "14 5"};
   double x_most = 1e-9;
@@ -32,22 +34,34 @@
     for (const auto& [x, y] : s.points) x_most = std::max(x_most, x), y_most = std::max(y_most, y);
   const auto at_x = [&](double x) { return kLeft + x / x_most * (kWide - kLeft - 150); };
   const auto at_y = [&](double y) { return 10 + (1 - y / std::max(1e-9, y_most)) * (kHigh - kBelow - 10); };
-  std::string svg = fmt::format("<h3>{}</h3><svg viewBox=\"0 0 {} {}\" role=\"img\" aria-label=\"{}\" width=\"{}\">", escaped(title), kWide, kHigh, escaped(title), kWide);
+  std::string svg =
+      fmt::format("<h3>{}</h3><svg viewBox=\"0 0 {} {}\" role=\"img\" aria-label=\"{}\" width=\"{}\">",
+                  escaped(title), kWide, kHigh, escaped(title), kWide);
   for (int k = 0; k <= 4; ++k) {
     const double y = y_most * k / 4;
-    svg += fmt::format("<line x1=\"{:.0f}\" x2=\"{:.0f}\" y1=\"{:.1f}\" y2=\"{:.1f}\" stroke=\"#ccc\"/><text x=\"{:.0f}\" y=\"{:.1f}\" text-anchor=\"end\">{:.3g}</text>",
-                       kLeft, kWide - 150, at_y(y), at_y(y), kLeft - 6, at_y(y) + 4, y);
+    svg += fmt::format(
+        "<line x1=\"{:.0f}\" x2=\"{:.0f}\" y1=\"{:.1f}\" y2=\"{:.1f}\" stroke=\"#ccc\"/><text x=\"{:.0f}\" "
+        "y=\"{:.1f}\" text-anchor=\"end\">{:.3g}</text>",
+        kLeft, kWide - 150, at_y(y), at_y(y), kLeft - 6, at_y(y) + 4, y);
   }
-  for (int k = 0; k <= 4; ++k) svg += fmt::format("<text x=\"{:.0f}\" y=\"{:.0f}\" text-anchor=\"middle\">{:.3g}</text>", at_x(x_most * k / 4), kHigh - 18, x_most * k / 4);
-  svg += fmt::format("<text x=\"{:.0f}\" y=\"{:.0f}\" text-anchor=\"middle\">{}</text>", (kLeft + kWide - 150) / 2, kHigh - 3, escaped(x_name));
+  for (int k = 0; k <= 4; ++k)
+    svg += fmt::format("<text x=\"{:.0f}\" y=\"{:.0f}\" text-anchor=\"middle\">{:.3g}</text>",
+                       at_x(x_most * k / 4), kHigh - 18, x_most * k / 4);
+  svg += fmt::format("<text x=\"{:.0f}\" y=\"{:.0f}\" text-anchor=\"middle\">{}</text>",
+                     (kLeft + kWide - 150) / 2, kHigh - 3, escaped(x_name));
   for (std::size_t k = 0; k < series.size(); ++k) {
     std::string points;
     for (const auto& [x, y] : series[k].points) points += fmt::format("{:.1f},{:.1f} ", at_x(x), at_y(y));
     const char* dash = dashes[k % dashes.size()];
-    svg += fmt::format("<polyline fill=\"none\" stroke=\"#000\" stroke-width=\"1.6\" stroke-dasharray=\"{}\" points=\"{}\"/>", dash, points);
+    svg += fmt::format(
+        "<polyline fill=\"none\" stroke=\"#000\" stroke-width=\"1.6\" stroke-dasharray=\"{}\" "
+        "points=\"{}\"/>",
+        dash, points);
     const double y = 20 + 18 * static_cast<double>(k);
-    svg += fmt::format("<line x1=\"{0:.0f}\" x2=\"{1:.0f}\" y1=\"{2:.0f}\" y2=\"{2:.0f}\" stroke=\"#000\" stroke-width=\"1.6\" stroke-dasharray=\"{3}\"/><text x=\"{4:.0f}\" y=\"{5:.0f}\">{6}</text>",
-                       kWide - 142, kWide - 112, y, dash, kWide - 106, y + 4, escaped(series[k].name));
+    svg += fmt::format(
+        "<line x1=\"{0:.0f}\" x2=\"{1:.0f}\" y1=\"{2:.0f}\" y2=\"{2:.0f}\" stroke=\"#000\" "
+        "stroke-width=\"1.6\" stroke-dasharray=\"{3}\"/><text x=\"{4:.0f}\" y=\"{5:.0f}\">{6}</text>",
+        kWide - 142, kWide - 112, y, dash, kWide - 106, y + 4, escaped(series[k].name));
   }
   return svg + "</svg>\n";
 }
@@ -59,11 +73,12 @@
   return degrees < few.size() ? few[degrees] : degrees < 30 ? 2.09 : 1.96;
 }
 
-std::vector<Played> play(const script::Day& day, const std::vector<Variant>& variants, int seeds, int jobs, const WorldSettings& world,
-                         const std::function<void(double)>& progress) {
+std::vector<Played> play(const script::Day& day, const std::vector<Variant>& variants, int seeds, int jobs,
+                         const WorldSettings& world, const std::function<void(double)>& progress) {
   std::vector<Played> all;
   for (const auto& v : variants) {
-    for (std::size_t n = 1; n <= day.coordinators.size(); ++n) static_cast<void>(settings_for(day, n, v.config, v.changes));  // faults now
+    for (std::size_t n = 1; n <= day.coordinators.size(); ++n)
+      static_cast<void>(settings_for(day, n, v.config, v.changes));  // faults now
     all.push_back({v.name, std::vector<Outcome>(static_cast<std::size_t>(seeds)), {}, {}, {}, {}, 1, {}});
   }
   const std::size_t runs = variants.size() * static_cast<std::size_t>(seeds);
@@ -74,7 +89,9 @@
       const std::size_t v = k % variants.size(), seed = k / variants.size();
       WorldSettings s = world;
       s.seed = world.seed + seed;
-      s.settings = [&day, &variant = variants[v]](std::size_t n) { return settings_for(day, n, variant.config, variant.changes); };
+      s.settings = [&day, &variant = variants[v]](std::size_t n) {
+        return settings_for(day, n, variant.config, variant.changes);
+      };
       all[v].outcomes[seed] = World{day, std::move(s)}.run();
       const std::lock_guard lock{telling};
       progress(static_cast<double>(++done) / static_cast<double>(runs));
@@ -97,14 +114,16 @@
     }
     for (const auto& t : p.by_ten)
       if (t.asked > 0) p.worst_ten = std::min(p.worst_ten, t.service());
-    for (const auto& [rule, n] : broken) p.broken.push_back(fmt::format("{} (in {} of {} runs)", rule, n, seeds));
+    for (const auto& [rule, n] : broken)
+      p.broken.push_back(fmt::format("{} (in {} of {} runs)", rule, n, seeds));
   }
   return all;
 }
 
 Difference difference(const Played& a, const Played& b) {
   std::vector<double> d;
-  for (std::size_t k = 0; k < a.outcomes.size(); ++k) d.push_back(b.outcomes[k].whole.service() - a.outcomes[k].whole.service());
+  for (std::size_t k = 0; k < a.outcomes.size(); ++k)
+    d.push_back(b.outcomes[k].whole.service() - a.outcomes[k].whole.service());
   Difference out;
   for (const double v : d) out.mean += v / static_cast<double>(d.size());
   if (d.size() < 2) {
@@ -113,7 +132,8 @@
   }
   double square = 0;
   for (const double v : d) square += (v - out.mean) * (v - out.mean);
-  const double half = t95(d.size() - 1) * std::sqrt(square / static_cast<double>(d.size() - 1) / static_cast<double>(d.size()));
+  const double half = t95(d.size() - 1) *
+                      std::sqrt(square / static_cast<double>(d.size() - 1) / static_cast<double>(d.size()));
   out.low = out.mean - half, out.high = out.mean + half;
   return out;
 }
@@ -128,12 +148,19 @@
   const auto f = [](double v) { return fmt::format("{:.5f}", v); };
   row("service", [&](const Played& p) { return f(p.whole.service()); });
   row("worst 10 s", [&](const Played& p) { return f(p.worst_ten); });
-  for (std::size_t k = 0; k < day.operations.size(); ++k) row("service of " + day.operations[k].name, [&](const Played& p) { return f(p.by_operation[k].service()); });
-  for (std::size_t k = 0; k < day.zones.size(); ++k) row("service of " + day.zones[k], [&](const Played& p) { return f(p.by_zone[k].service()); });
+  for (std::size_t k = 0; k < day.operations.size(); ++k)
+    row("service of " + day.operations[k].name,
+        [&](const Played& p) { return f(p.by_operation[k].service()); });
+  for (std::size_t k = 0; k < day.zones.size(); ++k)
+    row("service of " + day.zones[k], [&](const Played& p) { return f(p.by_zone[k].service()); });
   const auto lost = [&](const char* what, std::uint64_t Tally::*n) {
-    row(std::string{"lost: "} + what, [&](const Played& p) { return fmt::format("{:.3f}%", 100.0 * static_cast<double>(p.whole.*n) / static_cast<double>(std::max<std::uint64_t>(1, p.whole.invocations))); });
+    row(std::string{"lost: "} + what, [&](const Played& p) {
+      return fmt::format("{:.3f}%", 100.0 * static_cast<double>(p.whole.*n) /
+                                        static_cast<double>(std::max<std::uint64_t>(1, p.whole.invocations)));
+    });
   };
-  lost("late", &Tally::late), lost("errored", &Tally::errored), lost("rate-limited", &Tally::limited), lost("no line", &Tally::no_line);
+  lost("late", &Tally::late), lost("errored", &Tally::errored), lost("rate-limited", &Tally::limited),
+      lost("no line", &Tally::no_line);
   const auto worst = [&](const std::string& what, double Outcome::*v) {
     row(what, [&](const Played& p) {
       double most = 0;
@@ -147,7 +174,9 @@
   worst(fmt::format("5 lines waiting, of {:.0f}", day.backlog), &Outcome::waiting);
   row("rules broken", [&](const Played& p) { return std::to_string(p.broken.size()); });
   if (played.size() > 1) {
-    row("differs from the first", [&](const Played& p) { return &p == &played[0] ? std::string{"-"} : fmt::format("{:+.5f}", difference(played[0], p).mean); });
+    row("differs from the first", [&](const Played& p) {
+      return &p == &played[0] ? std::string{"-"} : fmt::format("{:+.5f}", difference(played[0], p).mean);
+    });
     row("  95% interval", [&](const Played& p) {
       if (&p == &played[0] || p.outcomes.size() < 2) return std::string{"-"};
       const auto d = difference(played[0], p);
@@ -162,7 +191,8 @@
 
 std::string page(const script::Day& day, const std::vector<Played>& played, const std::string& remark) {
   std::string html = "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>" + escaped(day.name) +
-                     "</title><style>body{font:14px sans-serif;max-width:60em;margin:2em auto;color:#000}svg text{font-size:11px}pre{overflow:auto}</style>";
+                     "</title><style>body{font:14px sans-serif;max-width:60em;margin:2em auto;color:#000}svg "
+                     "text{font-size:11px}pre{overflow:auto}</style>";
   html += "<h1>" + escaped(day.name) + "</h1>";
   if (!remark.empty()) html += "<p><strong>" + escaped(remark) + "</strong></p>";
   html += "<pre>" + escaped(table(day, played)) + "</pre>";
@@ -170,7 +200,8 @@
   for (const auto& p : played) {
     Series s{p.name, {}};
     for (std::size_t k = 0; k < p.by_ten.size(); ++k)
-      if (p.by_ten[k].asked > 0) s.points.emplace_back(10 * static_cast<double>(k) + 5, p.by_ten[k].service());
+      if (p.by_ten[k].asked > 0)
+        s.points.emplace_back(10 * static_cast<double>(k) + 5, p.by_ten[k].service());
     service.push_back(std::move(s));
   }
   html += plot("Service by 10 s", "s", service, 1);
@@ -179,14 +210,17 @@
     std::vector<Series> weights, tries;
     for (std::size_t z = 0; z < day.zones.size(); ++z) {
       Series w{day.zones[z], {}}, t{day.zones[z], {}};
-      for (const auto& m : first.moments) w.points.emplace_back(m.at, m.zone_weight[z]), t.points.emplace_back(m.at, m.zone_tries[z]);
+      for (const auto& m : first.moments)
+        w.points.emplace_back(m.at, m.zone_weight[z]), t.points.emplace_back(m.at, m.zone_tries[z]);
       weights.push_back(std::move(w)), tries.push_back(std::move(t));
     }
-    html += plot("Weights by zone, " + p.name + ", first seed", "s", weights, 0) + plot("Invocations a second by zone, " + p.name, "s", tries, 0);
+    html += plot("Weights by zone, " + p.name + ", first seed", "s", weights, 0) +
+            plot("Invocations a second by zone, " + p.name, "s", tries, 0);
     std::size_t worst = 0;
     for (std::size_t k = 0; k < first.by_ten.size(); ++k)
       if (first.by_ten[k].asked > 0 && first.by_ten[k].service() < first.by_ten[worst].service()) worst = k;
-    html += fmt::format("<h3>What was said around the worst 10 s ({} to {} s), {}</h3><pre>", 10 * worst, 10 * worst + 10, escaped(p.name));
+    html += fmt::format("<h3>What was said around the worst 10 s ({} to {} s), {}</h3><pre>", 10 * worst,
+                        10 * worst + 10, escaped(p.name));
     for (const auto& m : first.moments)
       if (m.at >= 10.0 * static_cast<double>(worst) - 3 && m.at <= 10.0 * static_cast<double>(worst) + 10)
         for (const auto& n : m.notes) html += fmt::format("{:6.1f} s  {}\n", m.at, escaped(n));
--- a/src/lab/replay/fit.cpp
+++ b/src/lab/replay/fit.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-constexpr double kIdle = 0.5;     // use of processors below which a latency is the work itself
-constexpr double kBusy = 0.15;    // and above which throughput over use tells the capacity
-constexpr double kEstimate = 0.8; // an estimate's interval: from the 10th to the 90th part of a hundred
+constexpr double kIdle = 0.5;      // use of processors below which a latency is the work itself
+constexpr double kBusy = 0.15;     // and above which throughput over use tells the capacity
+constexpr double kEstimate = 0.8;  // an estimate's interval: from the 10th to the 90th part of a hundred
 
 double quantile(std::vector<double> v, double part) {
   if (v.empty()) return 0;
@@ -25,7 +25,8 @@
   return v[std::min(v.size() - 1, static_cast<std::size_t>(part * static_cast<double>(v.size())))];
 }
 Estimate estimate(std::string what, std::string how, const std::vector<double>& values) {
-  return {std::move(what), std::move(how), quantile(values, 0.5), quantile(values, (1 - kEstimate) / 2), quantile(values, (1 + kEstimate) / 2)};
+  return {std::move(what), std::move(how), quantile(values, 0.5), quantile(values, (1 - kEstimate) / 2),
+          quantile(values, (1 + kEstimate) / 2)};
 }
 
 struct Worker {
@@ -88,16 +89,20 @@
           const double over = (now - w.at).seconds();
           double done = 0;
           for (const auto& c : load->sample.counts) {
-            const auto was = std::find_if(w.last->counts.begin(), w.last->counts.end(), [&](const auto& o) { return o.operation == c.operation && o.source == c.source; });
+            const auto was = std::find_if(w.last->counts.begin(), w.last->counts.end(), [&](const auto& o) {
+              return o.operation == c.operation && o.source == c.source;
+            });
             const std::uint64_t succeeded = c.succeeded - (was == w.last->counts.end() ? 0 : was->succeeded);
             const double latency = c.latency - (was == w.last->counts.end() ? 0 : was->latency);
-            taken[step.t / 1'000'000] += static_cast<double>(c.taken - (was == w.last->counts.end() ? 0 : was->taken));
+            taken[step.t / 1'000'000] +=
+                static_cast<double>(c.taken - (was == w.last->counts.end() ? 0 : was->taken));
             if (succeeded == 0 || succeeded > 1U << 30U || c.operation.value >= work.size()) continue;
             done += static_cast<double>(succeeded);
             if (load->sample.util.value_or(1) < kIdle && load->sample.queue.value_or(1) == 0)
               work[c.operation.value].push_back(latency / static_cast<double>(succeeded));
           }
-          if (load->sample.util.value_or(0) > kBusy && over > 0) w.capacity.push_back(done / over / *load->sample.util);
+          if (load->sample.util.value_or(0) > kBusy && over > 0)
+            w.capacity.push_back(done / over / *load->sample.util);
         }
         w.last = load->sample, w.at = now;
       } else if (const auto* health = std::get_if<coordinator::HealthHeard>(&input)) {
@@ -113,31 +118,38 @@
       }
     }
   }
-  if (workers.empty() || !first || *last_t == *first) throw std::runtime_error{"the recording has neither a day's script nor what was heard of workers"};
+  if (workers.empty() || !first || *last_t == *first)
+    throw std::runtime_error{"the recording has neither a day's script nor what was heard of workers"};
   const Instant end = Instant{} + Span::micros(*last_t);
   for (auto& [id, w] : workers) {
     if (w.down) trouble(script::TroubleKind::crash, w, *w.down, end);
     if (w.hung && end - *w.hung > Span::seconds(1)) {
       trouble(script::TroubleKind::hang, w, *w.hung, end);
-      f.unknown.push_back(w.name + " took invocations and answered none: their work is unknown, the operation's own is assumed");
+      f.unknown.push_back(
+          w.name +
+          " took invocations and answered none: their work is unknown, the operation's own is assumed");
     }
   }
   if (unread > 0) f.unknown.push_back(fmt::format("{} steps without what was heard in them", unread));
   script::Day& d = f.day;
-  d.name = r.header.name, d.zones = core.zones, d.length = Span::micros(*last_t - *first), d.settle = Span::seconds(1);
+  d.name = r.header.name, d.zones = core.zones, d.length = Span::micros(*last_t - *first),
+  d.settle = Span::seconds(1);
   for (std::size_t k = 0; k < core.operations.size(); ++k) {
     const auto& op = core.operations[k];
     constexpr const char* effects[] = {"idempotent", "fingerprinted", "side-effecting"};
-    const auto e = estimate("work of " + op.name + ", s", "latency of succeeded ones at workers that were under half busy", work[k]);
-    if (work[k].empty()) f.unknown.push_back("work of " + op.name + ": never seen at an idle worker; a tenth of its latency objective is assumed");
+    const auto e = estimate("work of " + op.name + ", s",
+                            "latency of succeeded ones at workers that were under half busy", work[k]);
+    if (work[k].empty())
+      f.unknown.push_back("work of " + op.name +
+                          ": never seen at an idle worker; a tenth of its latency objective is assumed");
     double share = 0;
     for (const auto& [id, w] : workers)
       if (w.last)
         for (const auto& c : w.last->counts)
           if (c.operation.value == k) share += static_cast<double>(c.taken);
     d.operations.push_back({op.name, effects[static_cast<std::size_t>(op.effect)], std::max(1e-3, share),
-                            Span::seconds(e.value > 0 ? e.value : op.latency_objective.seconds() / 10), op.latency_objective,
-                            op.integration_timeout, op.billed_value});
+                            Span::seconds(e.value > 0 ? e.value : op.latency_objective.seconds() / 10),
+                            op.latency_objective, op.integration_timeout, op.billed_value});
     f.estimates.push_back(e);
   }
   double mean_work = 0, all_share = 0;
@@ -149,11 +161,16 @@
     for (const auto& [id, w] : workers)
       if (w.zone == z) ++count, capacity.insert(capacity.end(), w.capacity.begin(), w.capacity.end());
     if (count == 0) continue;
-    auto e = estimate("cores of a worker in " + core.zones[z], "invocations a second over use of processors, times their work", capacity);
+    auto e = estimate("cores of a worker in " + core.zones[z],
+                      "invocations a second over use of processors, times their work", capacity);
     e.value *= mean_work, e.low *= mean_work, e.high *= mean_work;
-    if (capacity.empty()) f.unknown.push_back("capacity in " + core.zones[z] + ": never busy enough to tell; two cores are assumed"), e = {e.what, "assumed", 2, 1, 8};
+    if (capacity.empty())
+      f.unknown.push_back("capacity in " + core.zones[z] +
+                          ": never busy enough to tell; two cores are assumed"),
+          e = {e.what, "assumed", 2, 1, 8};
     script::DayWorkers w;
-    w.zone = core.zones[z], w.count = std::min(count, 250), w.cores = std::max(1.0, std::round(e.value)), w.speed = e.value / w.cores;
+    w.zone = core.zones[z], w.count = std::min(count, 250), w.cores = std::max(1.0, std::round(e.value)),
+    w.speed = e.value / w.cores;
     d.workers.push_back(w);
     f.estimates.push_back(e);
   }
@@ -162,19 +179,24 @@
   const double mean_rate = total / d.length.seconds();
   for (const auto& zone : core.zones) {
     script::DayClients c;
-    c.zone = zone, c.count = 8, c.rate = std::max(0.01, mean_rate / 8 / static_cast<double>(core.zones.size()));
+    c.zone = zone, c.count = 8,
+    c.rate = std::max(0.01, mean_rate / 8 / static_cast<double>(core.zones.size()));
     d.clients.push_back(c);
   }
   f.unknown.emplace_back("who asked: eight clients a zone, of equal parts");
   for (std::int64_t t = *first / 1'000'000; t <= *last_t / 1'000'000; t += 5) {
     double n = 0;
     for (std::int64_t k = t; k < t + 5; ++k) n += taken.contains(k) ? taken[k] : 0;
-    d.phases.push_back({"second " + std::to_string(t - *first / 1'000'000), Span::seconds(static_cast<double>(t - *first / 1'000'000)), n / 5 / std::max(1e-9, mean_rate)});
+    d.phases.push_back({"second " + std::to_string(t - *first / 1'000'000),
+                        Span::seconds(static_cast<double>(t - *first / 1'000'000)),
+                        n / 5 / std::max(1e-9, mean_rate)});
   }
   d.troubles = std::move(troubles);
   d.coordinators = {settings.zone_name};
-  d.drain_grace = core.drain_grace, d.unserved = core.unserved, d.cold_for = core.cold_for, d.tip_after = Span::seconds(2);
-  d.cold_from = core.cold_from, d.tip_multiple = core.tip_multiple, d.backlog = core.backlog, d.lines_per_second = core.lines_per_second;
+  d.drain_grace = core.drain_grace, d.unserved = core.unserved, d.cold_for = core.cold_for,
+  d.tip_after = Span::seconds(2);
+  d.cold_from = core.cold_from, d.tip_multiple = core.tip_multiple, d.backlog = core.backlog,
+  d.lines_per_second = core.lines_per_second;
   d.messages_most = core.messages_most, d.messages_window = core.messages_window, d.levels = core.levels;
   return f;
 }
@@ -194,9 +216,11 @@
     for (std::size_t k = 0; k < day.operations.size(); ++k) {
       if (day.operations[k].name != name) continue;
       ops[k].asked += day.operations[k].billed_value;
-      if (i.outcome == 0) ops[k].in_time += day.operations[k].billed_value, ops[k].took.push_back(i.took / 1e6);
+      if (i.outcome == 0)
+        ops[k].in_time += day.operations[k].billed_value, ops[k].took.push_back(i.took / 1e6);
     }
-    if (i.worker < r.workers.size()) ++all, ++zones[r.workers[i.worker].substr(0, r.workers[i.worker].rfind('-'))];
+    if (i.worker < r.workers.size())
+      ++all, ++zones[r.workers[i.worker].substr(0, r.workers[i.worker].rfind('-'))];
   }
   double asked = 0, in_time = 0;
   std::vector<std::vector<double>> took(day.operations.size());
@@ -204,9 +228,14 @@
     if (e.outcome == 0) took[e.operation].push_back(e.took);
   for (std::size_t k = 0; k < ops.size(); ++k) {
     asked += ops[k].asked, in_time += ops[k].in_time;
-    c.rows.push_back({day.operations[k].name + ", value asked for", ops[k].asked, played.by_operation[k].asked});
-    c.rows.push_back({day.operations[k].name + ", service", ops[k].asked > 0 ? ops[k].in_time / ops[k].asked : 1, played.by_operation[k].service()});
-    for (const double part : {0.5, 0.95}) c.rows.push_back({fmt::format("{}, latency {:.0f}%, s", day.operations[k].name, 100 * part), quantile(ops[k].took, part), quantile(took[k], part)});
+    c.rows.push_back(
+        {day.operations[k].name + ", value asked for", ops[k].asked, played.by_operation[k].asked});
+    c.rows.push_back({day.operations[k].name + ", service",
+                      ops[k].asked > 0 ? ops[k].in_time / ops[k].asked : 1,
+                      played.by_operation[k].service()});
+    for (const double part : {0.5, 0.95})
+      c.rows.push_back({fmt::format("{}, latency {:.0f}%, s", day.operations[k].name, 100 * part),
+                        quantile(ops[k].took, part), quantile(took[k], part)});
   }
   const double service = asked > 0 ? in_time / asked : 1;
   c.rows.push_back({"service", service, played.whole.service()});
@@ -216,8 +245,10 @@
   std::size_t w = 0;
   for (const auto& kind : day.workers)
     for (int n = 0; n < kind.count; ++n, ++w) {
-      const auto z = static_cast<std::size_t>(std::find(day.zones.begin(), day.zones.end(), kind.zone) - day.zones.begin());
-      by_zone[z] += static_cast<double>(played.worker_taken[w]), sum += static_cast<double>(played.worker_taken[w]);
+      const auto z = static_cast<std::size_t>(std::find(day.zones.begin(), day.zones.end(), kind.zone) -
+                                              day.zones.begin());
+      by_zone[z] += static_cast<double>(played.worker_taken[w]),
+          sum += static_cast<double>(played.worker_taken[w]);
     }
   for (std::size_t z = 0; z < day.zones.size() && all > 0; ++z) {
     c.rows.push_back({"part of " + day.zones[z], zones[day.zones[z]] / all, by_zone[z] / std::max(1.0, sum)});
@@ -236,7 +267,9 @@
   std::vector<Outcome::Ended> ended = outcome.ended;
   std::stable_sort(ended.begin(), ended.end(), [](const auto& a, const auto& b) { return a.came < b.came; });
   for (const auto& e : ended)
-    r.invocations.push_back({static_cast<std::int64_t>(e.came * 1e6), static_cast<std::uint32_t>(e.took * 1e6), e.operation, e.outcome, e.tries, e.proxy, e.worker});
+    r.invocations.push_back({static_cast<std::int64_t>(e.came * 1e6),
+                             static_cast<std::uint32_t>(e.took * 1e6), e.operation, e.outcome, e.tries,
+                             e.proxy, e.worker});
   return r;
 }
 
--- a/src/lab/replay/same.cpp
+++ b/src/lab/replay/same.cpp
@@ -22,7 +22,9 @@
     if (!more_a && !more_b) return "";
     if (!more_a) p = "(nothing)";
     if (!more_b) q = "(nothing)";
-    if (p != q || more_a != more_b) return fmt::format("line {}\n    recorded: {}\n    replayed: {}", n, p.substr(0, 300), q.substr(0, 300));
+    if (p != q || more_a != more_b)
+      return fmt::format("line {}\n    recorded: {}\n    replayed: {}", n, p.substr(0, 300),
+                         q.substr(0, 300));
   }
 }
 
@@ -46,14 +48,18 @@
       break;
     }
     const auto inputs = record::decode(step.inputs, Instant{});
-    if (const auto* fault = std::get_if<std::string>(&inputs)) throw std::runtime_error{fmt::format("step {}: {}", k, *fault)};
-    const auto effects = core.step(Instant{} + Span::micros(step.t), std::get<std::vector<coordinator::Input>>(inputs));
+    if (const auto* fault = std::get_if<std::string>(&inputs))
+      throw std::runtime_error{fmt::format("step {}: {}", k, *fault)};
+    const auto effects =
+        core.step(Instant{} + Span::micros(step.t), std::get<std::vector<coordinator::Input>>(inputs));
     const std::string orders = record::text_of(effects, Instant{});
     ++result.compared;
     if (XXH3_64bits(orders.data(), orders.size()) == step.digest) continue;
-    result.difference = fmt::format("step {} at {:.6f} s ordered otherwise: {}\n  its input: {} bytes of {} inputs", k, static_cast<double>(step.t) / 1e6,
-                                    step.orders.empty() ? "(its words were not kept)" : first_line_that_differs(step.orders, orders), step.inputs.size(),
-                                    std::get<std::vector<coordinator::Input>>(inputs).size());
+    result.difference = fmt::format(
+        "step {} at {:.6f} s ordered otherwise: {}\n  its input: {} bytes of {} inputs", k,
+        static_cast<double>(step.t) / 1e6,
+        step.orders.empty() ? "(its words were not kept)" : first_line_that_differs(step.orders, orders),
+        step.inputs.size(), std::get<std::vector<coordinator::Input>>(inputs).size());
     break;
   }
   return result;
--- a/src/lab/replay/settings.cpp
+++ b/src/lab/replay/settings.cpp
@@ -12,8 +12,10 @@
 
 Override read_override(const std::string& text) {
   const auto dot = text.find('.'), is = text.find('=');
-  if (dot == std::string::npos || is == std::string::npos || dot == 0 || is < dot + 2 || is + 1 >= text.size())
-    throw std::runtime_error{fmt::format("'{}': expected BLOCK.NAME=VALUE, such as rules.drain_grace=2s", text)};
+  if (dot == std::string::npos || is == std::string::npos || dot == 0 || is < dot + 2 ||
+      is + 1 >= text.size())
+    throw std::runtime_error{
+        fmt::format("'{}': expected BLOCK.NAME=VALUE, such as rules.drain_grace=2s", text)};
   return {text.substr(0, dot), text.substr(dot + 1, is - dot - 1), text.substr(is + 1)};
 }
 
--- a/src/lab/replay/settings.hpp
+++ b/src/lab/replay/settings.hpp
@@ -9,8 +9,8 @@
 
 namespace gorsemount::lab {
 
-// `block.name=value`, such as rules.drain_grace=2s or coordinator.levels=share. Throws std::runtime_error that names
-// what of it is not understood.
+// `block.name=value`, such as rules.drain_grace=2s or coordinator.levels=share. Throws std::runtime_error
+// that names what of it is not understood.
 struct Override {
   std::string block, name, value;
 };
@@ -19,9 +19,10 @@
 // The text with the value in place. Blocks without labels only.
 [[nodiscard]] std::string put(std::string text, const Override& change);
 
-// Coordinator `number` of the day: by `config` (the text of a settings file; empty: what the day implies) with the
-// changes. Who is there is the day's in any case. Throws std::runtime_error with the fault's place.
-[[nodiscard]] coordinator::Settings settings_for(const script::Day& day, std::size_t number, const std::string& config,
+// Coordinator `number` of the day: by `config` (the text of a settings file; empty: what the day implies)
+// with the changes. Who is there is the day's in any case. Throws std::runtime_error with the fault's place.
+[[nodiscard]] coordinator::Settings settings_for(const script::Day& day, std::size_t number,
+                                                 const std::string& config,
                                                  const std::vector<Override>& changes);
 
 }  // namespace gorsemount::lab
--- a/src/lab/replay/windows.cpp
+++ b/src/lab/replay/windows.cpp
@@ -16,7 +16,8 @@
 
 namespace {
 
-// After the last of a trouble: a ladder's longest hold and its climb (docs/store.md). Later the day is as it was.
+// After the last of a trouble: a ladder's longest hold and its climb (docs/store.md). Later the day is as it
+// was.
 const Span kAfter = Span::seconds(80 + 120);
 // Of a stratum at the least: one window says nothing of how windows differ.
 constexpr std::size_t kLeast = 2;
@@ -40,8 +41,11 @@
 }
 
 Tally scaled(const Tally& t, double by) {
-  const auto n = [by](std::uint64_t k) { return static_cast<std::uint64_t>(std::llround(static_cast<double>(k) * by)); };
-  return {t.asked * by, t.in_time * by, n(t.invocations), n(t.succeeded), n(t.late), n(t.errored), n(t.limited), n(t.no_line)};
+  const auto n = [by](std::uint64_t k) {
+    return static_cast<std::uint64_t>(std::llround(static_cast<double>(k) * by));
+  };
+  return {t.asked * by, t.in_time * by, n(t.invocations), n(t.succeeded),
+          n(t.late),    n(t.errored),   n(t.limited),     n(t.no_line)};
 }
 
 }  // namespace
@@ -65,7 +69,8 @@
   std::size_t stratum = 0;
   for (auto& [rate, places] : quiet) {
     ++stratum;
-    const auto wanted = std::max(kLeast, static_cast<std::size_t>(std::ceil(plan.part * static_cast<double>(places.size()))));
+    const auto wanted =
+        std::max(kLeast, static_cast<std::size_t>(std::ceil(plan.part * static_cast<double>(places.size()))));
     const std::size_t n = std::min(wanted, places.size());
     const double stands_for = static_cast<double>(places.size()) / static_cast<double>(n);
     std::shuffle(places.begin(), places.end(), chance);
@@ -105,14 +110,17 @@
   script::Day thin = day;
   const auto less = [times](int& n, const std::string& what) {
     if (n == 0) return;
-    if (n < times) throw std::runtime_error{fmt::format("{} are {}: not enough to be thinned {} times", what, n, times)};
+    if (n < times)
+      throw std::runtime_error{fmt::format("{} are {}: not enough to be thinned {} times", what, n, times)};
     n = static_cast<int>(std::lround(static_cast<double>(n) / times));
   };
   for (auto& w : thin.workers) less(w.count, "workers of " + w.zone);
   for (auto& c : thin.clients) less(c.count, "clients of " + c.zone), c.disobedient /= times;
-  for (auto& f : thin.forwarders) less(f.count, "forwarders of " + f.zone), less(f.clients, "callers of forwarders of " + f.zone);
+  for (auto& f : thin.forwarders)
+    less(f.count, "forwarders of " + f.zone), less(f.clients, "callers of forwarders of " + f.zone);
   for (auto& t : thin.troubles)
-    if (t.count > 0) t.count = std::max(1, static_cast<int>(std::lround(static_cast<double>(t.count) / times)));
+    if (t.count > 0)
+      t.count = std::max(1, static_cast<int>(std::lround(static_cast<double>(t.count) / times)));
   thin.fleet_rate /= times, thin.backlog /= times, thin.lines_per_second /= times;
   return thin;
 }
@@ -141,17 +149,20 @@
   return d;
 }
 
-WindowedDay play_windows(const script::Day& day, const std::vector<Variant>& variants, const WindowPlan& plan, int jobs,
-                         const WorldSettings& world, const std::function<void(double)>& progress) {
+WindowedDay play_windows(const script::Day& day, const std::vector<Variant>& variants, const WindowPlan& plan,
+                         int jobs, const WorldSettings& world, const std::function<void(double)>& progress) {
   WindowedDay result;
   result.windows = plan_windows(day, plan);
   result.whole = day.length;
   const std::size_t n = result.windows.size(), runs = n * variants.size();
-  std::vector<std::vector<std::optional<Outcome>>> outcomes(variants.size(), std::vector<std::optional<Outcome>>(n));
+  std::vector<std::vector<std::optional<Outcome>>> outcomes(variants.size(),
+                                                            std::vector<std::optional<Outcome>>(n));
   for (const auto& v : variants)
-    for (std::size_t k = 1; k <= day.coordinators.size(); ++k) static_cast<void>(settings_for(day, k, v.config, v.changes));  // faults now
+    for (std::size_t k = 1; k <= day.coordinators.size(); ++k)
+      static_cast<void>(settings_for(day, k, v.config, v.changes));  // faults now
   std::vector<script::Day> pieces;
-  for (const auto& w : result.windows) pieces.push_back(day_of(day, w, plan.warm)), result.played = result.played + pieces.back().length;
+  for (const auto& w : result.windows)
+    pieces.push_back(day_of(day, w, plan.warm)), result.played = result.played + pieces.back().length;
   std::atomic<std::size_t> next = 0, done = 0;
   std::mutex telling;
   const auto work = [&] {
@@ -160,7 +171,9 @@
       WorldSettings s = world;
       s.seed = world.seed * 100'003 + w;  // a window's own, the same for all variants
       s.count_from = std::min(plan.warm, result.windows[w].from);
-      s.settings = [&day, &variant = variants[v]](std::size_t c) { return settings_for(day, c, variant.config, variant.changes); };
+      s.settings = [&day, &variant = variants[v]](std::size_t c) {
+        return settings_for(day, c, variant.config, variant.changes);
+      };
       Outcome o = World{pieces[w], std::move(s)}.run();
       o.moments.clear(), o.latency.clear();  // many windows, and nobody reads these
       outcomes[v][w] = std::move(o);
@@ -182,15 +195,19 @@
       const Outcome& o = *outcomes[v][w];
       const Window& window = result.windows[w];
       out.whole.add(scaled(o.whole, window.stands_for));
-      for (std::size_t k = 0; k < o.by_operation.size(); ++k) out.by_operation[k].add(scaled(o.by_operation[k], window.stands_for));
-      for (std::size_t k = 0; k < o.by_zone.size(); ++k) out.by_zone[k].add(scaled(o.by_zone[k], window.stands_for));
+      for (std::size_t k = 0; k < o.by_operation.size(); ++k)
+        out.by_operation[k].add(scaled(o.by_operation[k], window.stands_for));
+      for (std::size_t k = 0; k < o.by_zone.size(); ++k)
+        out.by_zone[k].add(scaled(o.by_zone[k], window.stands_for));
       out.worst_ten = std::min(out.worst_ten, o.worst_ten());
       own.push_back({window.stratum, window.stands_for, o.whole.in_time, o.whole.asked});
-      beside.push_back({window.stratum, window.stands_for, o.whole.in_time - outcomes[0][w]->whole.in_time, o.whole.asked});
+      beside.push_back({window.stratum, window.stands_for, o.whole.in_time - outcomes[0][w]->whole.in_time,
+                        o.whole.asked});
       for (const auto& rule : o.broken(pieces[w])) ++broken[rule];
     }
     out.service = ratio(own), out.against_first = ratio(beside);
-    for (const auto& [rule, times] : broken) out.broken.push_back(fmt::format("{} (in {} of {} windows)", rule, times, n));
+    for (const auto& [rule, times] : broken)
+      out.broken.push_back(fmt::format("{} (in {} of {} windows)", rule, times, n));
     result.variants.push_back(std::move(out));
   }
   return result;
@@ -199,31 +216,41 @@
 std::string table(const script::Day& day, const WindowedDay& d) {
   std::size_t eventful = 0;
   for (const auto& w : d.windows) eventful += w.eventful ? 1 : 0;
-  std::string text = fmt::format("{} windows, {} of them eventful; {:.0f} s played, warming up included, for {:.0f} s of the day\n{:<34}",
-                                 d.windows.size(), eventful, d.played.seconds(), d.whole.seconds(), "");
+  std::string text = fmt::format(
+      "{} windows, {} of them eventful; {:.0f} s played, warming up included, for {:.0f} s of the "
+      "day\n{:<34}",
+      d.windows.size(), eventful, d.played.seconds(), d.whole.seconds(), "");
   for (const auto& v : d.variants) text += fmt::format(" {:>19}", v.name.substr(0, 19));
   const auto row = [&](const std::string& what, auto value) {
     text += fmt::format("\n  {:<32}", what.substr(0, 32));
     for (const auto& v : d.variants) text += fmt::format(" {:>19}", value(v));
   };
   row("service", [](const Windowed& v) { return fmt::format("{:.5f}", v.service.mean); });
-  row("  95% interval, of the windows", [](const Windowed& v) { return fmt::format("{:.5f} to {:.5f}", v.service.low, v.service.high); });
+  row("  95% interval, of the windows",
+      [](const Windowed& v) { return fmt::format("{:.5f} to {:.5f}", v.service.low, v.service.high); });
   row("worst 10 s of those played", [](const Windowed& v) { return fmt::format("{:.5f}", v.worst_ten); });
   for (std::size_t k = 0; k < day.operations.size(); ++k)
-    row("service of " + day.operations[k].name, [&](const Windowed& v) { return fmt::format("{:.5f}", v.by_operation[k].service()); });
+    row("service of " + day.operations[k].name,
+        [&](const Windowed& v) { return fmt::format("{:.5f}", v.by_operation[k].service()); });
   for (std::size_t k = 0; k < day.zones.size(); ++k)
-    row("service of " + day.zones[k], [&](const Windowed& v) { return fmt::format("{:.5f}", v.by_zone[k].service()); });
+    row("service of " + day.zones[k],
+        [&](const Windowed& v) { return fmt::format("{:.5f}", v.by_zone[k].service()); });
   const auto lost = [&](const char* what, std::uint64_t Tally::*count) {
     row(std::string{"lost: "} + what, [&](const Windowed& v) {
-      return fmt::format("{:.3f}%", 100.0 * static_cast<double>(v.whole.*count) / static_cast<double>(std::max<std::uint64_t>(1, v.whole.invocations)));
+      return fmt::format("{:.3f}%", 100.0 * static_cast<double>(v.whole.*count) /
+                                        static_cast<double>(std::max<std::uint64_t>(1, v.whole.invocations)));
     });
   };
-  lost("late", &Tally::late), lost("errored", &Tally::errored), lost("rate-limited", &Tally::limited), lost("no line", &Tally::no_line);
+  lost("late", &Tally::late), lost("errored", &Tally::errored), lost("rate-limited", &Tally::limited),
+      lost("no line", &Tally::no_line);
   row("rules broken", [](const Windowed& v) { return std::to_string(v.broken.size()); });
   if (d.variants.size() > 1) {
-    row("differs from the first", [&](const Windowed& v) { return &v == &d.variants[0] ? "-" : fmt::format("{:+.5f}", v.against_first.mean); });
+    row("differs from the first", [&](const Windowed& v) {
+      return &v == &d.variants[0] ? "-" : fmt::format("{:+.5f}", v.against_first.mean);
+    });
     row("  95% interval", [&](const Windowed& v) {
-      return &v == &d.variants[0] ? "-" : fmt::format("{:+.5f} {:+.5f}", v.against_first.low, v.against_first.high);
+      return &v == &d.variants[0] ? "-"
+                                  : fmt::format("{:+.5f} {:+.5f}", v.against_first.low, v.against_first.high);
     });
   }
   text += "\n";
--- a/src/lab/replay/windows.hpp
+++ b/src/lab/replay/windows.hpp
@@ -1,5 +1,6 @@
-// A long day in pieces: windows that something happens in are played whole, of the quiet ones a seeded sample, and the
-// count is an estimate that says how sure it is. Or a thinned day: the same with so many times fewer of everything.
+// A long day in pieces: windows that something happens in are played whole, of the quiet ones a seeded
+// sample, and the count is an estimate that says how sure it is. Or a thinned day: the same with so many
+// times fewer of everything.
 #pragma once
 
 #include <cstdint>
@@ -24,14 +25,14 @@
   double stands_for = 1;    // windows, this one included
   bool operator==(const Window&) const = default;
 };
-// The windows to play, in the order of time. Neighbours in which something happens are one window: what a trouble
-// leaves behind is then played and not assumed.
+// The windows to play, in the order of time. Neighbours in which something happens are one window: what a
+// trouble leaves behind is then played and not assumed.
 [[nodiscard]] std::vector<Window> plan_windows(const script::Day& day, const WindowPlan& plan);
-// A day of its own: `warm` before the window, the window, and time for its last invocations to end. What began before
-// and still lasts begins with it.
+// A day of its own: `warm` before the window, the window, and time for its last invocations to end. What
+// began before and still lasts begins with it.
 [[nodiscard]] script::Day day_of(const script::Day& day, const Window& window, Span warm);
-// `times` fewer workers, clients, forwarders and lines; each as busy as before. Throws std::runtime_error if a block
-// would be left with nobody.
+// `times` fewer workers, clients, forwarders and lines; each as busy as before. Throws std::runtime_error if
+// a block would be left with nobody.
 [[nodiscard]] script::Day thinned(const script::Day& day, int times);
 
 struct Windowed {
@@ -48,8 +49,9 @@
   Span played, whole;  // warming up included; of the day
 };
 // The outcome is the same for any number of jobs. Throws std::runtime_error for settings that can't be.
-[[nodiscard]] WindowedDay play_windows(const script::Day& day, const std::vector<Variant>& variants, const WindowPlan& plan, int jobs,
-                                       const WorldSettings& world, const std::function<void(double)>& progress);
+[[nodiscard]] WindowedDay play_windows(const script::Day& day, const std::vector<Variant>& variants,
+                                       const WindowPlan& plan, int jobs, const WorldSettings& world,
+                                       const std::function<void(double)>& progress);
 [[nodiscard]] std::string table(const script::Day& day, const WindowedDay& played);
 
 // A stratified sample's sum of `value` over the sum of `asked`, a row a window. Free of the world, for tests.
--- a/src/lab/world/worker_model.cpp
+++ b/src/lab/world/worker_model.cpp
@@ -60,7 +60,8 @@
 double WorkerModel::rate(Instant now) const {
   const auto n = static_cast<double>(running_.size());
   if (n <= 0 || stuck()) return 0;
-  double r = k_.speed * warmth(now) * std::min(1.0, k_.cores / n) / (1 + k_.loss * std::max(0.0, n / k_.cores - 1));
+  double r =
+      k_.speed * warmth(now) * std::min(1.0, k_.cores / n) / (1 + k_.loss * std::max(0.0, n / k_.cores - 1));
   if (trouble_ == TroubleKind::slow) r /= std::max(1e-3, trouble_size_);
   return r;
 }
@@ -73,7 +74,8 @@
     busy_ += std::min(k_.cores, static_cast<double>(running_.size())) * over;
     at_ = now;
   }
-  if (busy_log_.empty() || now - busy_log_.back().first >= Span::seconds(0.05)) busy_log_.emplace_back(now, busy_);
+  if (busy_log_.empty() || now - busy_log_.back().first >= Span::seconds(0.05))
+    busy_log_.emplace_back(now, busy_);
   while (busy_log_.size() > 2 && now - busy_log_[1].first >= kLoadOver) busy_log_.pop_front();
 }
 
@@ -91,7 +93,8 @@
 void WorkerModel::brought(Instant now, double work) {
   if (now >= warm_at_) return;
   brought_.emplace_back(now, work), brought_sum_ += work;
-  while (now - brought_.front().first > k_.tip_after) brought_sum_ -= brought_.front().second, brought_.pop_front();
+  while (now - brought_.front().first > k_.tip_after)
+    brought_sum_ -= brought_.front().second, brought_.pop_front();
   const double able = warmth(now) * k_.cores * k_.speed * k_.tip_after.seconds();
   worst_brought_ = std::max(worst_brought_, brought_sum_ / able);
   if (brought_sum_ > k_.tip_multiple * able) fallen_ = true;
@@ -100,7 +103,8 @@
 std::optional<double> WorkerModel::health(Instant now) {
   if (!up_ || stuck()) return {};
   advance(now);
-  const double able = k_.cores * k_.speed * warmth(now) / (trouble_ == TroubleKind::slow ? std::max(1e-3, trouble_size_) : 1);
+  const double able =
+      k_.cores * k_.speed * warmth(now) / (trouble_ == TroubleKind::slow ? std::max(1e-3, trouble_size_) : 1);
   const bool full = running_.size() >= static_cast<std::size_t>(k_.slots);
   return 0.002 / (k_.speed * warmth(now)) + (full ? queued_ / able : 0);
 }
@@ -121,14 +125,15 @@
   s.draining = trouble_ == TroubleKind::drain;
   const auto& [from, was] = busy_log_.front();
   const double over = (now - from).seconds();
-  s.util = std::min(1.0, told_util_ * (over > 0.05 ? (busy_ - was) / over / k_.cores
+  s.util = std::min(
+      1.0, told_util_ * (over > 0.05 ? (busy_ - was) / over / k_.cores
                                      : std::min(k_.cores, static_cast<double>(running_.size())) / k_.cores));
   s.queue = static_cast<double>(queue_.size());
   for (std::size_t k = 0; k < counts_.size(); ++k) {
     const Counts& c = counts_[k];
     if (c.taken + c.refused == 0) continue;
-    s.counts.push_back({OperationId{static_cast<std::uint8_t>(k % operations_)}, sources_[k / operations_], c.taken, c.succeeded,
-                        c.errored, c.refused, c.latency});
+    s.counts.push_back({OperationId{static_cast<std::uint8_t>(k % operations_)}, sources_[k / operations_],
+                        c.taken, c.succeeded, c.errored, c.refused, c.latency});
   }
   return s;
 }
--- a/src/lab/world/worker_model.hpp
+++ b/src/lab/world/worker_model.hpp
@@ -1,5 +1,6 @@
-// A worker under a virtual clock: some cores shared evenly by the invocations in its slots, a queue before them, a
-// cold start, and what goes wrong with it. With as many slots as cores it serves first come, first served.
+// A worker under a virtual clock: some cores shared evenly by the invocations in its slots, a queue before
+// them, a cold start, and what goes wrong with it. With as many slots as cores it serves first come, first
+// served.
 #pragma once
 
 #include <deque>
@@ -38,7 +39,11 @@
   };
 
   WorkerModel(std::string name, WorkerKind kind, std::vector<Prefix> sources, std::size_t operations)
-      : name_{std::move(name)}, k_{kind}, sources_{std::move(sources)}, counts_(sources_.size() * operations), operations_{operations} {}
+      : name_{std::move(name)},
+        k_{kind},
+        sources_{std::move(sources)},
+        counts_(sources_.size() * operations),
+        operations_{operations} {}
 
   void start(Instant now, bool cold);
   // What was inside is lost with the connections; returns it.
@@ -57,12 +62,14 @@
     if (trouble_ == script::TroubleKind::silent) return Taken::swallowed;
     Counts& c = count(job);
     const bool drained = trouble_ == script::TroubleKind::drain && now - struck_at_ > k_.drain_grace;
-    if (drained || trouble_ == script::TroubleKind::refuse || queue_.size() >= static_cast<std::size_t>(k_.queue_most)) {
+    if (drained || trouble_ == script::TroubleKind::refuse ||
+        queue_.size() >= static_cast<std::size_t>(k_.queue_most)) {
       ++c.refused;
       return Taken::refused;
     }
     ++c.taken;
-    if (trouble_ == script::TroubleKind::errors && std::uniform_real_distribution<>{}(chance) < trouble_size_) {
+    if (trouble_ == script::TroubleKind::errors &&
+        std::uniform_real_distribution<>{}(chance) < trouble_size_) {
       ++c.errored;
       return Taken::errored;
     }
@@ -110,7 +117,9 @@
     double latency = 0;
   };
   Counts& count(const Job& job) { return counts_[job.source * operations_ + job.operation]; }
-  [[nodiscard]] bool stuck() const { return trouble_ == script::TroubleKind::hang || trouble_ == script::TroubleKind::silent; }
+  [[nodiscard]] bool stuck() const {
+    return trouble_ == script::TroubleKind::hang || trouble_ == script::TroubleKind::silent;
+  }
   [[nodiscard]] double rate(Instant now) const;  // of work for each running one
   void advance(Instant now);
   void brought(Instant now, double work);
--- a/src/lab/world/world.cpp
+++ b/src/lab/world/world.cpp
@@ -28,10 +28,10 @@
 namespace {
 
 // As the stand-ins behave (standins/client.cpp, standins/forwarder.cpp); the two are compared by a test.
-constexpr double kGiveUp = 0.7;        // of the integration timeout, for one try of a client
-constexpr double kForwarderTime = 0.8; // and for all tries of a forwarder
-constexpr double kFurther = 0.6;       // no further try begins after this part
-constexpr int kFailures = 4;           // in a row before a forwarder keeps away from a worker
+constexpr double kGiveUp = 0.7;         // of the integration timeout, for one try of a client
+constexpr double kForwarderTime = 0.8;  // and for all tries of a forwarder
+constexpr double kFurther = 0.6;        // no further try begins after this part
+constexpr int kFailures = 4;            // in a row before a forwarder keeps away from a worker
 const Span kAway = Span::seconds(3);
 const Span kLineTakes = Span::seconds(40e-6);  // that a forwarder stands still for each line it reads
 const Span kPatience = Span::seconds(0.3);     // of a client with a DNS server that says nothing
@@ -39,13 +39,44 @@
 const Span kRosterLate = Span::seconds(0.5);   // at most, till a coordinator has read a list that changed
 const Span kHealthAgain = Span::seconds(0.06), kHealthTimeout = Span::seconds(0.8);
 const Span kTellCluster = Span::seconds(0.25);
-const Span kPrelude = Span::seconds(1.5);      // coordinators stand that long before the day begins, as on loopback
-constexpr std::size_t kBuckets = 10;           // a coordinator's polls of an interval come in so many portions
-constexpr std::size_t kLatencies = 400;        // kept of each worker
+const Span kPrelude =
+    Span::seconds(1.5);                  // coordinators stand that long before the day begins, as on loopback
+constexpr std::size_t kBuckets = 10;     // a coordinator's polls of an interval come in so many portions
+constexpr std::size_t kLatencies = 400;  // kept of each worker
 
 enum class What : std::uint8_t {
-  ask, enter, arrive, answer, try_over, wait_over, finish, poll, health_again, health_failed, step, wake, report, stream, batch, batch_done,
-  message, cluster_wake, tell, strike_host, trouble, trouble_over, kill, kill_over, phase, roster, second, churn, fault, write_down, watch, person
+  ask,
+  enter,
+  arrive,
+  answer,
+  try_over,
+  wait_over,
+  finish,
+  poll,
+  health_again,
+  health_failed,
+  step,
+  wake,
+  report,
+  stream,
+  batch,
+  batch_done,
+  message,
+  cluster_wake,
+  tell,
+  strike_host,
+  trouble,
+  trouble_over,
+  kill,
+  kill_over,
+  phase,
+  roster,
+  second,
+  churn,
+  fault,
+  write_down,
+  watch,
+  person
 };
 enum class Reply : std::uint32_t { well, refused, errored, broken };
 
@@ -135,17 +166,18 @@
   std::shared_ptr<const coordinator::Published> published;
   std::vector<Stream> streams;  // by forwarder
   std::vector<recovery::Entry> kept;
-  std::optional<Instant> kept_at;  // true time
+  std::optional<Instant> kept_at;             // true time
   std::vector<std::optional<BackendId>> ids;  // by worker
   std::vector<bool> asking;                   // a health call without an answer yet
   std::vector<std::uint16_t> ids_of_fronts;
-  std::vector<std::size_t> fronts;            // by place in its settings
+  std::vector<std::size_t> fronts;  // by place in its settings
 };
 
 }  // namespace
 
 void Tally::add(const Tally& o) {
-  asked += o.asked, in_time += o.in_time, invocations += o.invocations, succeeded += o.succeeded, late += o.late;
+  asked += o.asked, in_time += o.in_time, invocations += o.invocations, succeeded += o.succeeded,
+      late += o.late;
   errored += o.errored, limited += o.limited, no_line += o.no_line;
 }
 
@@ -175,7 +207,8 @@
 }
 
 struct World::State {
-  State(const Day& given, WorldSettings settings) : day{given}, s{std::move(settings)}, chance{static_cast<std::uint32_t>(s.seed)} {
+  State(const Day& given, WorldSettings settings)
+      : day{given}, s{std::move(settings)}, chance{static_cast<std::uint32_t>(s.seed)} {
     s.keeps = s.keeps || day.keeps;
   }
 
@@ -184,14 +217,20 @@
   void at(Instant when, What what, std::uint32_t a = 0, std::uint32_t b = 0, std::uint32_t c = 0) {
     events.push({std::max((when - Instant{}).micros(), (now - Instant{}).micros()), ++order, what, a, b, c});
   }
-  void after(Span span, What what, std::uint32_t a = 0, std::uint32_t b = 0, std::uint32_t c = 0) { at(now + span, what, a, b, c); }
-  [[nodiscard]] Instant local(const Host& h) const { return begin + Span::seconds(h.offset) + (now - begin) * h.rate; }
+  void after(Span span, What what, std::uint32_t a = 0, std::uint32_t b = 0, std::uint32_t c = 0) {
+    at(now + span, what, a, b, c);
+  }
+  [[nodiscard]] Instant local(const Host& h) const {
+    return begin + Span::seconds(h.offset) + (now - begin) * h.rate;
+  }
   [[nodiscard]] Instant truth(const Host& h, Instant local) const {
     // A little later rather than earlier: what is due must be found due.
     return begin + Span::seconds(((local - begin).seconds() - h.offset) / h.rate) + Span::micros(2);
   }
   double uniform() { return std::uniform_real_distribution<>{}(chance); }
-  [[nodiscard]] Span between(std::size_t a, std::size_t b) const { return a == b ? s.latency : s.latency_across; }
+  [[nodiscard]] Span between(std::size_t a, std::size_t b) const {
+    return a == b ? s.latency : s.latency_across;
+  }
 
   // ---- Who is there --------------------------------------------------------------------------------------
 
@@ -218,13 +257,15 @@
         workers.back().start(now, false);
       }
     }
-    finishes.assign(workers.size(), 0), told_draining.assign(workers.size(), std::nullopt), late_load.assign(workers.size(), Span{});
+    finishes.assign(workers.size(), 0), told_draining.assign(workers.size(), std::nullopt),
+        late_load.assign(workers.size(), Span{});
     for (std::size_t w = 0; w < workers.size(); ++w) place[workers[w].name()] = static_cast<std::uint32_t>(w);
     for (const auto& op : day.operations) shares.push_back(op.share);
     pick_operation = std::discrete_distribution<int>{shares.begin(), shares.end()};
     for (std::size_t f = 0; f < fronts.size(); ++f) {
       Proxy p;
-      p.forwarder = true, p.zone = zone_of(fronts[f].zone), p.led_by = fronts[f].led_by, p.two_choice = fronts[f].kind.two_choice;
+      p.forwarder = true, p.zone = zone_of(fronts[f].zone), p.led_by = fronts[f].led_by,
+      p.two_choice = fronts[f].kind.two_choice;
       p.rate = fronts[f].kind.rate * fronts[f].kind.clients / fronts[f].kind.count;
       p.away.resize(workers.size()), p.in_a_row.resize(workers.size()), p.out.resize(workers.size());
       p.met.resize(workers.size() * ops), p.arrived.assign(ops, 0), p.tokens.resize(ops), p.bare.resize(ops);
@@ -235,7 +276,8 @@
     for (const auto& c : day.clients)
       for (int n = 0; n < c.count; ++n) {
         Proxy p;
-        p.zone = zone_of(c.zone), p.rate = c.rate, p.by_address = n < c.by_address * c.count, p.obeys = n >= c.disobedient;
+        p.zone = zone_of(c.zone), p.rate = c.rate, p.by_address = n < c.by_address * c.count,
+        p.obeys = n >= c.disobedient;
         p.first_server = ++clients[c.zone] % day.coordinators.size();
         p.until.resize(ops), p.waiting.resize(ops), p.phases.resize(ops), p.picks.resize(ops);
         for (auto& phase : p.phases)
@@ -256,10 +298,14 @@
       start(h);
     }
     for (std::size_t p = 0; p < proxies.size(); ++p) next_ask(static_cast<std::uint32_t>(p));
-    for (std::size_t k = 0; k < day.troubles.size(); ++k) at(begin + day.troubles[k].at, What::trouble, static_cast<std::uint32_t>(k));
-    for (std::size_t k = 0; k < day.kills.size(); ++k) at(begin + day.kills[k].at, What::kill, static_cast<std::uint32_t>(k));
-    for (std::size_t k = 0; k < day.phases.size(); ++k) at(begin + day.phases[k].at, What::phase, static_cast<std::uint32_t>(k));
-    for (std::size_t k = 0; k < day.persons.size(); ++k) at(begin + day.persons[k].at, What::person, static_cast<std::uint32_t>(k));
+    for (std::size_t k = 0; k < day.troubles.size(); ++k)
+      at(begin + day.troubles[k].at, What::trouble, static_cast<std::uint32_t>(k));
+    for (std::size_t k = 0; k < day.kills.size(); ++k)
+      at(begin + day.kills[k].at, What::kill, static_cast<std::uint32_t>(k));
+    for (std::size_t k = 0; k < day.phases.size(); ++k)
+      at(begin + day.phases[k].at, What::phase, static_cast<std::uint32_t>(k));
+    for (std::size_t k = 0; k < day.persons.size(); ++k)
+      at(begin + day.persons[k].at, What::person, static_cast<std::uint32_t>(k));
     after(Span::seconds(1), What::second);
     after(Span::seconds(0.1), What::watch);
     if (day.churn > Span{}) after(day.churn, What::churn);
@@ -276,7 +322,8 @@
     std::size_t n = 0;
     for (const auto& line : usual)
       if (zone_of(line.zone) == p.zone && n++ < 4)
-        for (const auto& op : day.operations) p.held.lines[{op.name, line.name}] = {line.at, 100, forwarders::State::ready};
+        for (const auto& op : day.operations)
+          p.held.lines[{op.name, line.name}] = {line.at, 100, forwarders::State::ready};
     read_table(p);
   }
   void read_table(Proxy& p) {
@@ -285,7 +332,8 @@
     for (std::size_t k = 0; k < ops; ++k) {
       const std::string& op = day.operations[k].name;
       double upto = 0;
-      for (auto it = p.held.lines.lower_bound({op, ""}); it != p.held.lines.end() && it->first.first == op; ++it)
+      for (auto it = p.held.lines.lower_bound({op, ""}); it != p.held.lines.end() && it->first.first == op;
+           ++it)
         if (it->second.picked() > 0)
           if (const auto w = place.find(it->first.second); w != place.end())
             p.picks[k].push_back({w->second, upto += it->second.picked()});
@@ -320,11 +368,13 @@
     for (std::size_t k = 0; k < settings.forwarders.size(); ++k)
       for (std::size_t f = 0; f < fronts.size(); ++f)
         if (fronts[f].name == settings.forwarders[k].name)
-          h.ids_of_fronts[f] = static_cast<std::uint16_t>(coordinator::kFirstForwarder + k), h.fronts.push_back(f);
+          h.ids_of_fronts[f] = static_cast<std::uint16_t>(coordinator::kFirstForwarder + k),
+          h.fronts.push_back(f);
     if (day.shared) {
       cluster::ClusterSettings c;
       c.self = cluster::MemberId{static_cast<std::uint16_t>(h.number - 1)};
-      for (std::size_t k = 0; k < day.coordinators.size(); ++k) c.members.push_back(cluster::MemberId{static_cast<std::uint16_t>(k)});
+      for (std::size_t k = 0; k < day.coordinators.size(); ++k)
+        c.members.push_back(cluster::MemberId{static_cast<std::uint16_t>(k)});
       c.shards = std::max<std::size_t>(6, fronts.size() / 12);
       c.floor = {static_cast<std::uint64_t>(1000 + (now - begin).micros() / 1000)};
       c.lease.length = day.lease, c.lease.drift = std::max(0.01, s.drift);
@@ -343,7 +393,8 @@
     }
     give_roster(h);
     for (std::size_t k = 0; k < kBuckets; ++k)
-      after(load_every(h) * (static_cast<double>(k) / kBuckets), What::poll, index(h), static_cast<std::uint32_t>(k), h.life);
+      after(load_every(h) * (static_cast<double>(k) / kBuckets), What::poll, index(h),
+            static_cast<std::uint32_t>(k), h.life);
     after(settings.report_every, What::report, index(h), h.life);
     if (s.keeps) after(s.written_every, What::write_down, index(h), h.life);
     if (!day.shared)
@@ -380,7 +431,8 @@
     std::vector<coordinator::RosterEntry> entries;
     for (const auto& line : roster) {
       coordinator::RosterEntry e;
-      e.name = line.name, e.zone = ZoneId{static_cast<std::uint16_t>(zone_of(line.zone))}, e.at = line.at, e.weight = line.weight;
+      e.name = line.name, e.zone = ZoneId{static_cast<std::uint16_t>(zone_of(line.zone))}, e.at = line.at,
+      e.weight = line.weight;
       e.availability = line.draining ? Availability::draining : Availability::ready;
       entries.push_back(std::move(e));
     }
@@ -401,7 +453,8 @@
       advance(h, f);
     }
     for (const auto& n : effects.notes)
-      if (!out.moments.empty() && out.moments.back().notes.size() < 20 && n.weight == coordinator::Note::Weight::warning)
+      if (!out.moments.empty() && out.moments.back().notes.size() < 20 &&
+          n.weight == coordinator::Note::Weight::warning)
         out.moments.back().notes.push_back(n.event);
     at(truth(h, effects.wake_at), What::wake, index(h), ++h.wake);
   }
@@ -427,7 +480,8 @@
   void health(Host& h, std::uint32_t bucket) {
     // Twice in the interval of load replies, as in service.
     for (std::size_t w = bucket % (kBuckets / 2); w < workers.size(); w += kBuckets / 2)
-      if (h.ids[w] && !h.asking[w] && !one_health(h, w)) after(kHealthAgain, What::health_again, index(h), static_cast<std::uint32_t>(w), h.life);
+      if (h.ids[w] && !h.asking[w] && !one_health(h, w))
+        after(kHealthAgain, What::health_again, index(h), static_cast<std::uint32_t>(w), h.life);
   }
   bool one_health(Host& h, std::size_t w) {
     const bool cut = is_cut(h.zone, workers[w].kind().zone);
@@ -441,7 +495,10 @@
       after(kHealthTimeout, What::health_failed, index(h), static_cast<std::uint32_t>(w), h.life);
       return true;
     }
-    give(h, coordinator::HealthHeard{*h.ids[w], well ? coordinator::Health::well : refused ? coordinator::Health::refused : coordinator::Health::failed,
+    give(h, coordinator::HealthHeard{*h.ids[w],
+                                     well      ? coordinator::Health::well
+                                     : refused ? coordinator::Health::refused
+                                               : coordinator::Health::failed,
                                      well ? Span::seconds(*wait) + there : kHealthTimeout});
     return well;
   }
@@ -452,7 +509,8 @@
   void open_stream(Host& h, std::size_t f, std::optional<std::uint64_t> term, bool taken_over) {
     Stream& st = h.streams[f];
     st = {false, false, taken_over, st.life + 1, term, {}, 0};
-    after(between(h.zone, proxies[f].zone) * 4, What::stream, index(h), static_cast<std::uint32_t>(f), st.life);
+    after(between(h.zone, proxies[f].zone) * 4, What::stream, index(h), static_cast<std::uint32_t>(f),
+          st.life);
   }
   void close_stream(Host& h, std::size_t f) {
     Stream& st = h.streams[f];
@@ -462,31 +520,38 @@
     }
     st = {false, false, false, st.life + 1, std::nullopt, {}, 0};
   }
-  // A coordinator that shares nothing knows its own forwarders only; their places in its settings are theirs there.
+  // A coordinator that shares nothing knows its own forwarders only; their places in its settings are theirs
+  // there.
   [[nodiscard]] ProxyId proxy_id(const Host& h, std::size_t f) const { return ProxyId{h.ids_of_fronts[f]}; }
 
-  static std::size_t front_of(const Host& h, ProxyId id) { return h.fronts.at(id.value - coordinator::kFirstForwarder); }
+  static std::size_t front_of(const Host& h, ProxyId id) {
+    return h.fronts.at(id.value - coordinator::kFirstForwarder);
+  }
 
   void stream_stands(Host& h, std::size_t f) {
     Stream& st = h.streams[f];
     Proxy& p = proxies[f];
     st.up = true;
-    if (h.cluster && p.highest > 0) h.cluster->learn(local(h), h.part->shard_of(proxy_id(h, f), h.core->settings()), {p.highest});
+    if (h.cluster && p.highest > 0)
+      h.cluster->learn(local(h), h.part->shard_of(proxy_id(h, f), h.core->settings()), {p.highest});
     if (st.term && s.fences) p.highest = std::max(p.highest, *st.term);
     out.takeovers += st.taken_over ? 1 : 0;
     std::map<std::string, double> holds;
     for (const auto& [key, line] : p.held.lines)
-      if (line.picked() > 0) holds[key.second] = std::max(holds[key.second], static_cast<double>(line.picked()));
+      if (line.picked() > 0)
+        holds[key.second] = std::max(holds[key.second], static_cast<double>(line.picked()));
     give(h, coordinator::ForwarderJoined{proxy_id(h, f), st.taken_over, std::move(holds)});
   }
 
   void advance(Host& h, std::size_t f) {
     Stream& st = h.streams[f];
     if (!st.up || !st.wanted || st.busy) return;
-    if (h.cluster && !h.cluster->leads(h.part->shard_of(proxy_id(h, f), h.core->settings()), local(h))) return;
+    if (h.cluster && !h.cluster->leads(h.part->shard_of(proxy_id(h, f), h.core->settings()), local(h)))
+      return;
     // The driver knows what the forwarder holds from its answers; the plan is made once for equal ones.
     if (!(way_wanted == st.wanted && way_from == proxies[f].held))
-      way_wanted = st.wanted, way_from = proxies[f].held, way = forwarders::plan(proxies[f].held, *st.wanted, true);
+      way_wanted = st.wanted, way_from = proxies[f].held,
+      way = forwarders::plan(proxies[f].held, *st.wanted, true);
     if (way.empty()) {
       if (st.holds != st.wanted->version) {
         st.holds = st.wanted->version;
@@ -541,7 +606,8 @@
         m = {};
       }
       p.touched.clear();
-      for (std::size_t k = 0; k < ops; ++k) met.arrived.emplace_back(OperationId{static_cast<std::uint8_t>(k)}, std::exchange(p.arrived[k], 0));
+      for (std::size_t k = 0; k < ops; ++k)
+        met.arrived.emplace_back(OperationId{static_cast<std::uint8_t>(k)}, std::exchange(p.arrived[k], 0));
       give(h, std::move(met));
     }
   }
@@ -551,7 +617,9 @@
   void tick_cluster(Host& h) {
     for (auto& m : h.cluster->tick(local(h))) {
       const std::size_t to = m.to.value;
-      out.cluster_bytes += 80 + 11 * m.rumours.size() + (std::holds_alternative<cluster::News>(m.body) ? std::get<cluster::News>(m.body).facts.size() : 0);
+      out.cluster_bytes +=
+          80 + 11 * m.rumours.size() +
+          (std::holds_alternative<cluster::News>(m.body) ? std::get<cluster::News>(m.body).facts.size() : 0);
       if (cut_hosts.contains({index(h), to}) || (loss > 0 && uniform() < loss)) continue;
       const std::uint32_t n = ++message_number;
       messages[n] = std::move(m);
@@ -560,7 +628,8 @@
     }
     follow(h, h.part->look(local(h), h.core->settings()));
     const Instant wake = truth(h, h.cluster->wake_at());
-    at(std::max(now + Span::seconds(0.005), std::min(wake, now + Span::seconds(0.05))), What::cluster_wake, index(h), ++h.cluster_wake);
+    at(std::max(now + Span::seconds(0.005), std::min(wake, now + Span::seconds(0.05))), What::cluster_wake,
+       index(h), ++h.cluster_wake);
   }
   void follow(Host& h, shared_fleet::Turn turn) {
     for (auto& input : turn.inputs) give(h, std::move(input));
@@ -580,20 +649,32 @@
       }
     };
     switch (chance() % 9) {
-      case 0: armed_hosts[k] = false; break;
+      case 0:
+        armed_hosts[k] = false;
+        break;
       case 1:
       case 2:
         for (auto& o : hosts)
           if (!o.up) start(o);
         break;
-      case 3: armed_hosts[k] = true; break;
+      case 3:
+        armed_hosts[k] = true;
+        break;
       case 4:
         for (auto& o : hosts) resume(o);
         break;
-      case 5: part(chance() % 2 == 0); break;
-      case 6: cut_hosts.clear(), slow_hosts.clear(), loss = 0; break;
-      case 7: loss = 0.3 * uniform(); break;
-      default: slow_hosts.insert({k, j}); break;
+      case 5:
+        part(chance() % 2 == 0);
+        break;
+      case 6:
+        cut_hosts.clear(), slow_hosts.clear(), loss = 0;
+        break;
+      case 7:
+        loss = 0.3 * uniform();
+        break;
+      default:
+        slow_hosts.insert({k, j});
+        break;
     }
   }
   void heal() {
@@ -628,7 +709,8 @@
     oracle.clear();
     double upto = 0;
     for (std::uint32_t w = 0; w < workers.size(); ++w)
-      if (const double able = told_draining[w] ? 0 : workers[w].able(now); able > 0) oracle.push_back({w, upto += able});
+      if (const double able = told_draining[w] ? 0 : workers[w].able(now); able > 0)
+        oracle.push_back({w, upto += able});
   }
 
   void next_ask(std::uint32_t p) {
@@ -662,7 +744,8 @@
     if (inv.came < begin + s.count_from) return {&uncounted, &uncounted, &uncounted, &uncounted};
     const auto ten = static_cast<std::size_t>((inv.came - begin).seconds() / 10);
     if (out.by_ten.size() <= ten) out.by_ten.resize(ten + 1);
-    return {&out.whole, &out.by_operation[inv.operation], &out.by_zone[proxies[inv.proxy].zone], &out.by_ten[ten]};
+    return {&out.whole, &out.by_operation[inv.operation], &out.by_zone[proxies[inv.proxy].zone],
+            &out.by_ten[ten]};
   }
 
   std::pair<double, double>& second_of(const Invocation& inv) {
@@ -678,12 +761,14 @@
     const double value = day.operations[inv.operation].billed_value;
     for (Tally* t : tallies(inv)) {
       if (end == End::succeeded) t->in_time += value, ++t->succeeded;
-      t->late += end == End::late, t->errored += end == End::errored, t->limited += end == End::limited, t->no_line += end == End::no_line;
+      t->late += end == End::late, t->errored += end == End::errored, t->limited += end == End::limited,
+          t->no_line += end == End::no_line;
     }
     if (end == End::succeeded) second_of(inv).second += value;
     if (s.list)
-      out.ended.push_back({(inv.came - begin).seconds(), (now - inv.came).seconds(), inv.operation, static_cast<std::uint8_t>(end),
-                           std::max(inv.inner, inv.outer), static_cast<std::uint16_t>(inv.proxy),
+      out.ended.push_back({(inv.came - begin).seconds(), (now - inv.came).seconds(), inv.operation,
+                           static_cast<std::uint8_t>(end), std::max(inv.inner, inv.outer),
+                           static_cast<std::uint16_t>(inv.proxy),
                            inv.ntried > 0 ? static_cast<std::uint16_t>(inv.worker) : std::uint16_t{65535}});
     inv.open = false, ++inv.generation, ++inv.round;
     free.push_back(n);
@@ -698,7 +783,8 @@
     ++inv.outer, ++inv.round, inv.inner = 0, inv.ntried = 0, inv.forwarded = now;
     ++p.arrived[inv.operation];
     const Span left = op.integration_timeout - (now - inv.came);
-    at(now + std::max(Span::seconds(0.001), std::min(left, op.integration_timeout * kGiveUp)), What::wait_over, n, inv.round);
+    at(now + std::max(Span::seconds(0.001), std::min(left, op.integration_timeout * kGiveUp)),
+       What::wait_over, n, inv.round);
     if (!admitted(p, inv.operation)) return done(n, End::limited);
     p.meter.first(now);
     forward(n);
@@ -707,7 +793,8 @@
     if (p.level[op] < 1 && uniform() >= p.level[op]) return false;
     if (p.limit[op] < 0) return true;
     auto& [left, since] = p.tokens[op];
-    left = std::min(std::max(1.0, p.limit[op] / 2), left + p.limit[op] * (since == Instant{} ? 1.0 : (now - since).seconds()));
+    left = std::min(std::max(1.0, p.limit[op] / 2),
+                    left + p.limit[op] * (since == Instant{} ? 1.0 : (now - since).seconds()));
     since = now;
     if (left < 1) return false;
     left -= 1;
@@ -723,7 +810,9 @@
     };
     const auto once = [&]() -> std::uint32_t {
       const double x = uniform() * picks.back().upto;
-      return std::upper_bound(picks.begin(), picks.end(), x, [](double v, const Pick& k) { return v < k.upto; })->worker;
+      return std::upper_bound(picks.begin(), picks.end(), x,
+                              [](double v, const Pick& k) { return v < k.upto; })
+          ->worker;
     };
     for (int k = 0; k < 12; ++k) {
       const auto w = once();
@@ -755,7 +844,8 @@
     }
     bare(p, inv.operation, false);
     const auto& op = day.operations[inv.operation];
-    send(n, *w, std::max(Span::seconds(0.001), op.integration_timeout * kForwarderTime - (now - inv.forwarded)));
+    send(n, *w,
+         std::max(Span::seconds(0.001), op.integration_timeout * kForwarderTime - (now - inv.forwarded)));
   }
   void send(std::uint32_t n, std::uint32_t w, Span patience) {
     Invocation& inv = invocations[n];
@@ -805,10 +895,13 @@
     WorkerModel& worker = workers[w];
     Proxy& p = proxies[inv.proxy];
     const Span back = way_to(worker.kind().zone, p.zone);
-    if (!worker.up()) return after(back, What::answer, n, inv.generation, static_cast<std::uint32_t>(Reply::refused));
+    if (!worker.up())
+      return after(back, What::answer, n, inv.generation, static_cast<std::uint32_t>(Reply::refused));
     ++out.worker_taken[w];
     if (p.obeys && told_draining[w] && (!p.forwarder || led(inv.proxy)))
-      out.drained_sent = std::max(out.drained_sent, (now - std::max(*told_draining[w], p.forwarder ? joined_at[inv.proxy] : Instant{})).seconds());
+      out.drained_sent = std::max(
+          out.drained_sent,
+          (now - std::max(*told_draining[w], p.forwarder ? joined_at[inv.proxy] : Instant{})).seconds());
     WorkerModel::Job job;
     job.invocation = n, job.generation = inv.generation, job.operation = inv.operation, job.came = now;
     job.source = static_cast<std::uint8_t>(p.forwarder ? day.zones.size() : p.zone);
@@ -819,13 +912,18 @@
       used = now;
     }
     began_now.clear();
-    const auto taken = worker.offer(now, job, chance, [this](const WorkerModel::Job& j) { return there(j); }, began_now);
+    const auto taken = worker.offer(
+        now, job, chance, [this](const WorkerModel::Job& j) { return there(j); }, began_now);
     began();
     switch (taken) {
-      case WorkerModel::Taken::refused: return after(back, What::answer, n, inv.generation, static_cast<std::uint32_t>(Reply::refused));
-      case WorkerModel::Taken::errored: return after(back, What::answer, n, inv.generation, static_cast<std::uint32_t>(Reply::errored));
-      case WorkerModel::Taken::swallowed: return;
-      case WorkerModel::Taken::taken: break;
+      case WorkerModel::Taken::refused:
+        return after(back, What::answer, n, inv.generation, static_cast<std::uint32_t>(Reply::refused));
+      case WorkerModel::Taken::errored:
+        return after(back, What::answer, n, inv.generation, static_cast<std::uint32_t>(Reply::errored));
+      case WorkerModel::Taken::swallowed:
+        return;
+      case WorkerModel::Taken::taken:
+        break;
     }
     if (worker.fallen()) {
       ++out.fell;
@@ -833,13 +931,14 @@
     }
     schedule(w);
   }
-  // The rules bind while a controller is in charge of a forwarder: not one that stands still, nor one whose lease is
-  // over. Their time runs from when one was again.
+  // The rules bind while a controller is in charge of a forwarder: not one that stands still, nor one whose
+  // lease is over. Their time runs from when one was again.
   bool led(std::uint32_t f) {
     for (auto& h : hosts)
       if (h.up && !h.paused && h.streams[f].up &&
           (!h.cluster || h.cluster->leads(h.part->shard_of(proxy_id(h, f), h.core->settings()), local(h)))) {
-        if (auto& since = proxies[f].unled_since; since) out.unled.push_back((now - *since).seconds()), since.reset();
+        if (auto& since = proxies[f].unled_since; since)
+          out.unled.push_back((now - *since).seconds()), since.reset();
         proxies[f].was_led = true;
         return true;
       }
@@ -863,12 +962,13 @@
   }
   void finish(std::uint32_t w) {
     finished_now.clear(), began_now.clear();
-    workers[w].finish(now, [this](const WorkerModel::Job& j) { return there(j); }, finished_now, began_now);
+    workers[w].finish(
+        now, [this](const WorkerModel::Job& j) { return there(j); }, finished_now, began_now);
     began();
     for (const auto& job : finished_now)
       if (there(job))
-        after(way_to(workers[w].kind().zone, proxies[invocations[job.invocation].proxy].zone), What::answer, job.invocation, job.generation,
-              static_cast<std::uint32_t>(Reply::well));
+        after(way_to(workers[w].kind().zone, proxies[invocations[job.invocation].proxy].zone), What::answer,
+              job.invocation, job.generation, static_cast<std::uint32_t>(Reply::well));
     schedule(w);
   }
 
@@ -953,16 +1053,21 @@
       const auto& settings = h.core->settings();
       std::vector<coordinator::Line> open;
       for (const auto& line : view.lines)
-        if (const auto it = h.published->directory->find(line.backend); it != h.published->directory->end() && it->second.open) open.push_back(line);
+        if (const auto it = h.published->directory->find(line.backend);
+            it != h.published->directory->end() && it->second.open)
+          open.push_back(line);
       double upto = 0;
       const auto add = [&](std::size_t place_of, double weight) {
         const auto w = place.find(h.published->directory->at(open[place_of].backend).name);
         if (w != place.end()) p.picks[op].push_back({w->second, upto += weight});
       };
       if (p.by_address) {
-        for (const auto k2 : coordinator::draw_equal(open, static_cast<std::size_t>(settings.addresses_most), p.phases[op].next())) add(k2, 1);
+        for (const auto k2 : coordinator::draw_equal(open, static_cast<std::size_t>(settings.addresses_most),
+                                                     p.phases[op].next()))
+          add(k2, 1);
       } else {
-        const auto drawn = coordinator::draw_tiers(open, static_cast<std::size_t>(settings.lines_most), p.phases[op].next());
+        const auto drawn =
+            coordinator::draw_tiers(open, static_cast<std::size_t>(settings.lines_most), p.phases[op].next());
         int first = INT_MAX;
         for (const auto& d : drawn) first = std::min(first, open[d.place].tier);
         // With two tries a client gets no further than its first tier, but for one that has no line of it.
@@ -990,7 +1095,9 @@
 
   void crash(std::uint32_t w) {
     for (const auto& job : workers[w].crash(now))
-      if (there(job)) after(s.latency, What::answer, job.invocation, job.generation, static_cast<std::uint32_t>(Reply::broken));
+      if (there(job))
+        after(s.latency, What::answer, job.invocation, job.generation,
+              static_cast<std::uint32_t>(Reply::broken));
     ++finishes[w];
     out.cold_brought = std::max(out.cold_brought, workers[w].worst_brought());
   }
@@ -1004,7 +1111,9 @@
     struck[k].clear();
     using enum TroubleKind;
     switch (t.kind) {
-      case stale_list: stale = true; break;
+      case stale_list:
+        stale = true;
+        break;
       case cut_link:
       case slow_link:
         for (std::size_t z = 0; z < day.zones.size(); ++z)
@@ -1018,13 +1127,16 @@
               }
             }
         break;
-      default: break;
+      default:
+        break;
     }
     if (t.kind >= forwarder_restart && t.kind <= streams) {
       std::vector<std::size_t> in_zone;
       for (std::size_t f = 0; f < fronts.size(); ++f)
         if (t.zone.empty() || fronts[f].zone == t.zone) in_zone.push_back(f);
-      const std::size_t n = t.count > 0 ? static_cast<std::size_t>(t.count) : static_cast<std::size_t>(t.part * static_cast<double>(in_zone.size()) + 0.5);
+      const std::size_t n =
+          t.count > 0 ? static_cast<std::size_t>(t.count)
+                      : static_cast<std::size_t>(t.part * static_cast<double>(in_zone.size()) + 0.5);
       for (std::size_t i = 0; i < std::min(n, in_zone.size()); ++i) {
         const std::size_t f = in_zone[i];
         if (t.kind == forwarder_restart) configure(proxies[f]), obeyed.erase(static_cast<std::uint32_t>(f));
@@ -1039,13 +1151,16 @@
           proxies[f].fault = t.kind, struck[k].push_back(static_cast<std::uint32_t>(f));
         }
       }
-    } else if (t.kind < forwarder_restart || t.kind == late_reports || t.kind == ageing || t.kind == false_reports) {
+    } else if (t.kind < forwarder_restart || t.kind == late_reports || t.kind == ageing ||
+               t.kind == false_reports) {
       std::vector<std::uint32_t> in_zone;
       for (std::uint32_t w = 0; w < workers.size(); ++w)
-        if ((t.zone.empty() || day.zones[workers[w].kind().zone] == t.zone) && workers[w].well()) in_zone.push_back(w);
+        if ((t.zone.empty() || day.zones[workers[w].kind().zone] == t.zone) && workers[w].well())
+          in_zone.push_back(w);
       std::size_t all = 0;
       for (const auto& w : workers) all += t.zone.empty() || day.zones[w.kind().zone] == t.zone ? 1 : 0;
-      const std::size_t n = t.count > 0 ? static_cast<std::size_t>(t.count) : static_cast<std::size_t>(t.part * static_cast<double>(all) + 0.5);
+      const std::size_t n = t.count > 0 ? static_cast<std::size_t>(t.count)
+                                        : static_cast<std::size_t>(t.part * static_cast<double>(all) + 0.5);
       for (const auto w : in_zone) {
         if (struck[k].size() >= (t.kind == errors && t.count == 0 ? all : n)) break;
         struck[k].push_back(w);
@@ -1060,7 +1175,8 @@
         } else if (t.kind == ageing) {
           workers[w].age(1 / std::max(1e-3, t.size));
         } else {
-          if (t.kind != drain || !day.unsafe.drain_untold) workers[w].trouble(now, t.kind, t.kind == errors ? t.part : t.size);
+          if (t.kind != drain || !day.unsafe.drain_untold)
+            workers[w].trouble(now, t.kind, t.kind == errors ? t.part : t.size);
           if (t.kind == drain) draining(w, true);
           ++finishes[w];
           schedule(w);
@@ -1094,7 +1210,9 @@
       } else {
         if (t.kind == drain) draining(w, false);
         for (const auto& job : workers[w].recover(now))
-          if (there(job)) after(s.latency, What::answer, job.invocation, job.generation, static_cast<std::uint32_t>(Reply::broken));
+          if (there(job))
+            after(s.latency, What::answer, job.invocation, job.generation,
+                  static_cast<std::uint32_t>(Reply::broken));
         ++finishes[w];
         schedule(w);
       }
@@ -1116,7 +1234,8 @@
     }
     for (std::size_t f = 0; f < fronts.size(); ++f) static_cast<void>(led(static_cast<std::uint32_t>(f)));
     for (std::size_t f = 0; f < fronts.size(); ++f)
-      for (std::size_t k = 0; k < day.operations.size(); ++k) bare(proxies[f], k, proxies[f].picks[k].empty());
+      for (std::size_t k = 0; k < day.operations.size(); ++k)
+        bare(proxies[f], k, proxies[f].picks[k].empty());
     if (now < begin + day.length) after(Span::seconds(0.02), What::watch);
   }
   void second() {
@@ -1154,7 +1273,8 @@
       all += proxies[f].rate;
       double differ = 0;
       if (!zone_parts.empty())
-        for (std::size_t z = 0; z < zones; ++z) differ += std::abs(parts[f * zones + z] - zone_parts[f * zones + z]) / 2;
+        for (std::size_t z = 0; z < zones; ++z)
+          differ += std::abs(parts[f * zones + z] - zone_parts[f * zones + z]) / 2;
       moved += differ * proxies[f].rate;
     }
     if (all > 0) out.moved += moved / all;
@@ -1162,7 +1282,8 @@
   }
   void churn() {
     if (now > begin + day.length - day.settle) return;
-    for (std::size_t k = 0; k < roster.size(); ++k) roster[k].weight = usual[k].weight * (0.6 + 0.4 * uniform());
+    for (std::size_t k = 0; k < roster.size(); ++k)
+      roster[k].weight = usual[k].weight * (0.6 + 0.4 * uniform());
     tell_roster();
     after(day.churn, What::churn);
   }
@@ -1181,8 +1302,10 @@
       case What::cluster_wake:
       case What::tell:
       case What::roster:
-      case What::write_down: return &hosts[e.a];
-      default: return nullptr;
+      case What::write_down:
+        return &hosts[e.a];
+      default:
+        return nullptr;
     }
   }
 
@@ -1198,12 +1321,14 @@
         if (e.b != paces || now > begin + day.length - day.settle) return;
         if (now >= begin) ask(e.a);
         return next_ask(e.a);
-      case What::enter: return look_up(e.a, e.b);
+      case What::enter:
+        return look_up(e.a, e.b);
       case What::arrive:
         if (invocations[e.a].open && invocations[e.a].generation == e.b) arrive(e.a);
         return;
       case What::answer:
-        if (invocations[e.a].open && invocations[e.a].generation == e.b) answered(e.a, static_cast<Reply>(e.c));
+        if (invocations[e.a].open && invocations[e.a].generation == e.b)
+          answered(e.a, static_cast<Reply>(e.c));
         return;
       case What::try_over:
         if (invocations[e.a].open && invocations[e.a].generation == e.b) answered(e.a, Reply::broken);
@@ -1230,7 +1355,8 @@
       case What::health_failed:
         if (h->life != e.c) return;
         h->asking[e.b] = false;
-        if (h->ids[e.b]) give(*h, coordinator::HealthHeard{*h->ids[e.b], coordinator::Health::failed, kHealthTimeout});
+        if (h->ids[e.b])
+          give(*h, coordinator::HealthHeard{*h->ids[e.b], coordinator::Health::failed, kHealthTimeout});
         return after(kHealthAgain, What::health_again, e.a, e.b, e.c);
       case What::health_again:
         if (h->life == e.c && h->ids[e.b] && !h->asking[e.b]) static_cast<void>(one_health(*h, e.b));
@@ -1275,8 +1401,10 @@
         if (e.b == 1) return pause(hosts[e.a]);
         if (hosts[e.a].up) stop(hosts[e.a]);
         return;
-      case What::trouble: return strike(e.a);
-      case What::trouble_over: return over(e.a);
+      case What::trouble:
+        return strike(e.a);
+      case What::trouble_over:
+        return over(e.a);
       case What::kill: {
         const auto& kill = day.kills[e.a];
         Host& victim = hosts[std::strtoul(kill.coordinator.c_str() + 6, nullptr, 10) - 1];
@@ -1308,10 +1436,14 @@
       case What::roster:
         if (h->life == e.b) give_roster(*h);
         return;
-      case What::second: return second();
-      case What::churn: return churn();
-      case What::fault: return fault();
-      case What::watch: return watch();
+      case What::second:
+        return second();
+      case What::churn:
+        return churn();
+      case What::fault:
+        return fault();
+      case What::watch:
+        return watch();
       case What::person:
         for (auto& one : hosts)
           if (one.up) give(one, day.persons[e.a].order);
@@ -1319,7 +1451,8 @@
       case What::write_down: {
         if (h->life != e.b) return;
         h->kept.clear();
-        for (const auto& [subject, fact] : h->core->facts()) h->kept.push_back({subject, fact, local(*h), h->kept.size() + 1, false});
+        for (const auto& [subject, fact] : h->core->facts())
+          h->kept.push_back({subject, fact, local(*h), h->kept.size() + 1, false});
         h->kept_at = now;
         return after(s.written_every, What::write_down, e.a, e.b);
       }
@@ -1362,7 +1495,7 @@
   std::discrete_distribution<int> pick_operation;
   std::vector<Proxy> proxies;  // forwarders first
   std::vector<Pick> oracle;
-  std::vector<double> zone_parts;  // of forwarders' work, by zone, a second ago
+  std::vector<double> zone_parts;                   // of forwarders' work, by zone, a second ago
   std::vector<std::optional<Instant>> groups_bare;  // by zone and operation
   std::deque<Host> hosts;
   std::vector<Invocation> invocations;
@@ -1390,7 +1523,8 @@
   Outcome out;
 };
 
-World::World(const Day& day, WorldSettings settings) : state_{std::make_unique<State>(day, std::move(settings))} {}
+World::World(const Day& day, WorldSettings settings)
+    : state_{std::make_unique<State>(day, std::move(settings))} {}
 World::~World() = default;
 Outcome World::run() { return state_->run(); }
 
--- a/src/lab/world/world.hpp
+++ b/src/lab/world/world.hpp
@@ -1,6 +1,6 @@
-// A scripted day under a virtual clock: workers, links, forwarders and DNS clients of our own make, led by the very
-// coordinators that run in service. Discrete events, drawn by a seed; no wall clock, no thread. The same day is
-// played on loopback by the stand-ins; what the two differ in is measured (docs/replay.md).
+// A scripted day under a virtual clock: workers, links, forwarders and DNS clients of our own make, led by
+// the very coordinators that run in service. Discrete events, drawn by a seed; no wall clock, no thread. The
+// same day is played on loopback by the stand-ins; what the two differ in is measured (docs/replay.md).
 #pragma once
 
 #include <array>
@@ -16,8 +16,8 @@
 
 namespace gorsemount::lab {
 
-// What decides. The oracle knows at every moment what each worker can do, and every proxy holds that at once: as good as
-// weights without tiers can be.
+// What decides. The oracle knows at every moment what each worker can do, and every proxy holds that at once:
+// as good as weights without tiers can be.
 enum class Decider { module, fixed_weights, zone_local, oracle };
 
 struct WorldSettings {
@@ -25,17 +25,21 @@
   Decider decider = Decider::module;
   // Settings of a coordinator, by its number from 1; absent: those that the day implies.
   std::function<coordinator::Settings(std::size_t number)> settings;
-  Span latency = Span::seconds(0.0002);       // one way, within a zone
+  Span latency = Span::seconds(0.0002);  // one way, within a zone
   Span latency_across = Span::seconds(0.0005);
-  double drift = 0;                           // of each coordinator's clock, at most half of it either way
-  Span gather = Span::seconds(0.02);          // inputs of that time are stepped together
-  Span load_every, health_every;              // zero: as a coordinator does in service
-  // In service nothing outlasts a coordinator that is killed, unless it keeps a store: what it knew when it last wrote.
+  double drift = 0;                   // of each coordinator's clock, at most half of it either way
+  Span gather = Span::seconds(0.02);  // inputs of that time are stepped together
+  Span load_every, health_every;      // zero: as a coordinator does in service
+  // In service nothing outlasts a coordinator that is killed, unless it keeps a store: what it knew when it
+  // last wrote.
   bool keeps = false;
   Span written_every = Span::seconds(1);
   // Each step of a coordinator, as it is made: for recordings and for checks.
-  std::function<void(std::size_t number, Instant local, const std::vector<coordinator::Input>&, const coordinator::Effects&)> on_step;
-  // Random faults on top of the day's, for simulations: kills, pauses, cuts, losses, slow links among controllers.
+  std::function<void(std::size_t number, Instant local, const std::vector<coordinator::Input>&,
+                     const coordinator::Effects&)>
+      on_step;
+  // Random faults on top of the day's, for simulations: kills, pauses, cuts, losses, slow links among
+  // controllers.
   int random_faults = 0;
   Span count_from;    // what came earlier only warms the day up: it is in no tally
   bool list = false;  // invocations, one by one
@@ -51,8 +55,8 @@
 
 struct Outcome {
   Tally whole;
-  std::vector<Tally> by_operation, by_zone;  // zone: of whoever asked
-  std::vector<Tally> by_ten;                 // for each 10 s
+  std::vector<Tally> by_operation, by_zone;          // zone: of whoever asked
+  std::vector<Tally> by_ten;                         // for each 10 s
   std::vector<std::pair<double, double>> by_second;  // billed value asked for, and answered in time
   // Rules: the worst that was met. Beside each its limit stands in the day.
   double bare = 0;          // s that a joined forwarder, or a client, had nobody to pick
@@ -60,14 +64,15 @@
   double drained_sent = 0;  // s after the telling, by obedient senders
   double cold_brought = 0;  // times the capacity
   int fell = 0;
-  double waiting = 0;       // lines in a channel
+  double waiting = 0;             // lines in a channel
   std::uint64_t lower_terms = 0;  // orders of a lower term than one that was obeyed before
   std::uint64_t two_led = 0;      // moments in which two led one shard
   [[nodiscard]] std::vector<std::string> broken(const script::Day& day) const;
   // What else is told of the day.
-  std::uint64_t crossings = 0, tries = 0, further_tries = 0, terms_refused = 0, takeovers = 0, half_changes = 0;
+  std::uint64_t crossings = 0, tries = 0, further_tries = 0, terms_refused = 0, takeovers = 0,
+                half_changes = 0;
   std::uint64_t cluster_bytes = 0;
-  std::vector<double> unled;          // s, each time that a forwarder had no leader
+  std::vector<double> unled;                           // s, each time that a forwarder had no leader
   std::map<std::string, std::vector<double>> latency;  // of succeeded ones by worker, a sample
   std::vector<std::uint64_t> worker_taken;
   // Each that ended, if asked for: when it came, how long it took, where it last went, and how it ended.
@@ -77,7 +82,7 @@
     std::uint16_t proxy = 0, worker = 65535;
   };
   std::vector<Ended> ended;
-  struct Moment {                     // each second
+  struct Moment {  // each second
     double at = 0;
     std::vector<double> zone_weight;  // of all lines in force, by zone, of the first coordinator that is up
     std::vector<double> zone_tries;   // a second
--- a/src/limits/fleet_limit.cpp
+++ b/src/limits/fleet_limit.cpp
@@ -7,15 +7,16 @@
 namespace {
 
 constexpr std::size_t kSamples = 6;  // some seconds: one quiet report must not cost a forwarder its part
-// Limits set in once demand passes this part of the rate: below it each may take all it likes, so that a burst
-// at one forwarder is not turned away while others are idle.
+// Limits set in once demand passes this part of the rate: below it each may take all it likes, so that a
+// burst at one forwarder is not turned away while others are idle.
 constexpr double kFree = 0.9;
 // Of an operation's part, this much is dealt evenly: a forwarder that nobody asked yet has a line at once.
 constexpr double kEven = 0.1;
 
 }  // namespace
 
-FleetLimit::FleetLimit(double rate, std::vector<Priced> operations) : rate_{rate}, operations_{std::move(operations)} {
+FleetLimit::FleetLimit(double rate, std::vector<Priced> operations)
+    : rate_{rate}, operations_{std::move(operations)} {
   std::stable_sort(operations_.begin(), operations_.end(), [](const Priced& a, const Priced& b) {
     return a.billed_value / a.cost > b.billed_value / b.cost;
   });
@@ -37,7 +38,9 @@
   const auto row = came_.find(forwarder);
   if (row == came_.end()) return 0;
   const auto it = row->second.find(operation);
-  return it == row->second.end() || it->second.empty() ? 0 : *std::max_element(it->second.begin(), it->second.end());
+  return it == row->second.end() || it->second.empty()
+             ? 0
+             : *std::max_element(it->second.begin(), it->second.end());
 }
 
 FleetLimit::Parts FleetLimit::parts() const {
@@ -46,7 +49,8 @@
   std::map<OperationId, double> wanted;
   double all = 0;
   for (const auto& [forwarder, row] : came_)
-    for (const auto& op : operations_) wanted[op.operation] += demand(forwarder, op.operation), all += demand(forwarder, op.operation);
+    for (const auto& op : operations_)
+      wanted[op.operation] += demand(forwarder, op.operation), all += demand(forwarder, op.operation);
   if (all <= kFree * rate_) return parts;
   // The dearest first; what is left over goes to all by what came, so that the parts always sum to the rate.
   double left = rate_;
@@ -58,7 +62,8 @@
       const double total = wanted[op.operation];
       const double by_demand = total > 0 ? demand(forwarder, op.operation) / total : 1 / n;
       const double spare = all > 0 ? left * total / all : 0;
-      parts[{forwarder, op.operation}] = (given[op.operation] + spare) * ((1 - kEven) * by_demand + kEven / n);
+      parts[{forwarder, op.operation}] =
+          (given[op.operation] + spare) * ((1 - kEven) * by_demand + kEven / n);
     }
   return parts;
 }
--- a/src/limits/fleet_limit.hpp
+++ b/src/limits/fleet_limit.hpp
@@ -1,5 +1,6 @@
-// Shares a rate of the whole fleet among forwarders by what came to each. No forwarder waits for it: each holds
-// its own part and turns away at once what is beyond; parts follow as reports come. Free of I/O and clocks.
+// Shares a rate of the whole fleet among forwarders by what came to each. No forwarder waits for it: each
+// holds its own part and turns away at once what is beyond; parts follow as reports come. Free of I/O and
+// clocks.
 #pragma once
 
 #include <cstdint>
@@ -37,7 +38,8 @@
 
   double rate_;
   std::vector<Priced> operations_;
-  std::map<ProxyId, std::map<OperationId, std::deque<double>>> came_;  // invocations a second, the last samples
+  std::map<ProxyId, std::map<OperationId, std::deque<double>>>
+      came_;  // invocations a second, the last samples
 };
 
 }  // namespace gorsemount::limits
--- a/src/limits/retry_budget.cpp
+++ b/src/limits/retry_budget.cpp
@@ -9,10 +9,11 @@
 
 // A forwarder that has used so much of its part will soon be short of it.
 constexpr double kHungry = 0.8;
-// Of what a quiet one has over its own recent use, this much stays with it: its first second of trouble must not wait for
-// a report.
+// Of what a quiet one has over its own recent use, this much stays with it: its first second of trouble must
+// not wait for a report.
 constexpr double kReserve = 0.5;
-// No forwarder gets more than so many times the fleet's share: past that it is better told that its answers are bad.
+// No forwarder gets more than so many times the fleet's share: past that it is better told that its answers
+// are bad.
 constexpr double kMost = 4;
 // What moves by less is not worth a message.
 constexpr double kWorthIt = 0.25;
@@ -29,7 +30,8 @@
   const auto it = rows_.find(forwarder);
   if (it == rows_.end()) return;
   auto& samples = it->second.samples;
-  samples.push_back({now, static_cast<double>(std::max(0, first)), static_cast<double>(std::max(0, further))});
+  samples.push_back(
+      {now, static_cast<double>(std::max(0, first)), static_cast<double>(std::max(0, further))});
   while (!samples.empty() && now - samples.front().at > window_) samples.pop_front();
 }
 
@@ -68,7 +70,8 @@
       s.wanted = std::min(kMost * share_, share_ + lent / hungry);
     }
   }
-  // Less is ordered at once, more only if all of it still fits: old parts that stay must not make the sum too large.
+  // Less is ordered at once, more only if all of it still fits: old parts that stay must not make the sum too
+  // large.
   double budget = 0, stands = 0;
   for (auto& [forwarder, s] : sums) {
     budget += share_ * s.first;
@@ -78,12 +81,14 @@
   }
   for (auto& [forwarder, s] : sums) {
     const double more = (s.wanted - s.row->part) * s.first;
-    if (s.wanted <= s.row->part * (1 + kWorthIt) || (stands + more > budget * (1 + 1e-9) && s.first > 0)) continue;
+    if (s.wanted <= s.row->part * (1 + kWorthIt) || (stands + more > budget * (1 + 1e-9) && s.first > 0))
+      continue;
     s.row->part = s.wanted, stands += more;
   }
   // What came to each changes too: parts that stand for too much by now are cut back together.
   if (stands > budget * (1 + 1e-9))
-    for (auto& [forwarder, s] : sums) s.row->part *= (1 - kWorthIt / 2) * budget / stands;  // and some room, or each round would
+    for (auto& [forwarder, s] : sums)
+      s.row->part *= (1 - kWorthIt / 2) * budget / stands;  // and some room, or each round would
   parts_.clear();
   for (const auto& [forwarder, s] : sums) parts_[forwarder] = s.row->part;
   return parts_;
--- a/src/limits/retry_budget.hpp
+++ b/src/limits/retry_budget.hpp
@@ -1,7 +1,8 @@
-// Decides how many further tries the fleet may make: a share of its first tries over a window, dealt to forwarders, so
-// that a zone's loss never becomes a storm of repeats. Each forwarder holds its part and keeps to it by itself, at once;
-// what quiet ones leave over is lent to those that need more. Side-effecting work is repeated on proof only, whatever is
-// dealt, and there is no right to a hedge to deal. Free of I/O and clocks.
+// Decides how many further tries the fleet may make: a share of its first tries over a window, dealt to
+// forwarders, so that a zone's loss never becomes a storm of repeats. Each forwarder holds its part and keeps
+// to it by itself, at once; what quiet ones leave over is lent to those that need more. Side-effecting work
+// is repeated on proof only, whatever is dealt, and there is no right to a hedge to deal. Free of I/O and
+// clocks.
 #pragma once
 
 #include <deque>
@@ -26,8 +27,8 @@
   // Of one report: first tries and further ones. Of one that has not joined: nothing.
   void met(Instant now, ProxyId forwarder, int first, int further);
 
-  // After a round of reports: what each forwarder may try again of its own first tries. The parts, times what came to
-  // each, never add up to more than the fleet's budget. What would move by less than a quarter stays.
+  // After a round of reports: what each forwarder may try again of its own first tries. The parts, times what
+  // came to each, never add up to more than the fleet's budget. What would move by less than a quarter stays.
   using Parts = std::map<ProxyId, double>;
   [[nodiscard]] const Parts& deal(Instant now);
   [[nodiscard]] const Parts& parts() const { return parts_; }
--- a/src/limits/retry_meter.hpp
+++ b/src/limits/retry_meter.hpp
@@ -1,5 +1,5 @@
-// What a forwarder does with its part of the retry budget: counts of the last ten seconds, as a proxy's own sliding
-// rates give them. Free of I/O and clocks.
+// What a forwarder does with its part of the retry budget: counts of the last ten seconds, as a proxy's own
+// sliding rates give them. Free of I/O and clocks.
 #pragma once
 
 #include <algorithm>
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -5,7 +5,6 @@
 #include <spdlog/spdlog.h>
 
 #include <nlohmann/json.hpp>
-
 #include <stdexcept>
 
 namespace gorsemount::log {
@@ -20,7 +19,8 @@
 
 }  // namespace
 
-Log::Log(std::string program, const std::string& level, const std::string& file) : program_{std::move(program)} {
+Log::Log(std::string program, const std::string& level, const std::string& file)
+    : program_{std::move(program)} {
   try {
     spdlog::sink_ptr sink;
     if (file.empty()) {
@@ -42,8 +42,8 @@
 void Log::set_level(const std::string& level) { logger_->set_level(level_of(level)); }
 
 void Log::event(Level level, const std::string& name, const Fields& fields) {
-  constexpr spdlog::level::level_enum levels[] = {spdlog::level::debug, spdlog::level::info, spdlog::level::warn,
-                                                  spdlog::level::err};
+  constexpr spdlog::level::level_enum levels[] = {spdlog::level::debug, spdlog::level::info,
+                                                  spdlog::level::warn, spdlog::level::err};
   const auto at = levels[static_cast<std::size_t>(level)];
   if (!logger_->should_log(at)) return;
   nlohmann::ordered_json line{{"program", program_}, {"event", name}};
--- a/src/net/beast_feed.hpp
+++ b/src/net/beast_feed.hpp
@@ -3,7 +3,6 @@
 
 #include <boost/asio/buffer.hpp>
 #include <boost/beast/http/error.hpp>
-
 #include <string>
 #include <string_view>
 
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -1,11 +1,10 @@
 #include "net/http.hpp"
 
+#include <algorithm>
 #include <boost/beast/http/message.hpp>
 #include <boost/beast/http/parser.hpp>
 #include <boost/beast/http/string_body.hpp>
 #include <boost/beast/http/write.hpp>
-
-#include <algorithm>
 #include <cerrno>
 #include <sstream>
 
@@ -136,8 +135,8 @@
 template class HttpReader<Response>;
 
 const char* name_of(HttpClient::Outcome outcome) {
-  constexpr const char* names[] = {"answered", "connection refused", "no connection", "connection lost", "no answer in time",
-                                   "not understood"};
+  constexpr const char* names[] = {"answered",        "connection refused", "no connection",
+                                   "connection lost", "no answer in time",  "not understood"};
   return names[static_cast<std::size_t>(outcome)];
 }
 
@@ -207,7 +206,8 @@
   loop_.cancel(timeout_);
   attempt_.reset();
   if (connection_) connection_->abort();
-  if (done_) std::exchange(done_, {})(Result{outcome, {}, asked_, monotonic_now() - asked_, std::move(why), sent_});
+  if (done_)
+    std::exchange(done_, {})(Result{outcome, {}, asked_, monotonic_now() - asked_, std::move(why), sent_});
 }
 
 }  // namespace gorsemount::net
