--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -42,8 +42,8 @@
   HttpReader(HttpReader&&) noexcept;
   HttpReader& operator=(HttpReader&&) noexcept;
   std::size_t feed(std::string_view bytes);
-  [[nodiscard]] std::optional<Message> take();          // the message, once whole
-  [[nodiscard]] const std::string& fault() const;       // not empty: the peer does not speak HTTP
+  [[nodiscard]] std::optional<Message> take();     // the message, once whole
+  [[nodiscard]] const std::string& fault() const;  // not empty: the peer does not speak HTTP
   // The peer closed; true if that ends a message whole.
   bool end();
 
@@ -63,7 +63,7 @@
     Response response;
     Instant asked;
     Span took;
-    std::string why;  // of what was garbled
+    std::string why;    // of what was garbled
     bool sent = false;  // the request may have reached the peer
   };
   using Done = std::function<void(Result)>;
--- a/src/net/http_stream.cpp
+++ b/src/net/http_stream.cpp
@@ -2,7 +2,6 @@
 
 #include <boost/beast/http/parser.hpp>
 #include <boost/beast/http/string_body.hpp>
-
 #include <utility>
 
 #include "net/beast_feed.hpp"
--- a/src/net/http_stream.hpp
+++ b/src/net/http_stream.hpp
@@ -16,11 +16,11 @@
 
   // Takes what it can use and returns how many bytes that was; the rest is offered again with more behind it.
   std::size_t feed(std::string_view bytes);
-  void end();                                        // the peer closed: whole, where nothing told the body's length
-  [[nodiscard]] unsigned status() const;             // 0: the headers have not all come
-  [[nodiscard]] std::string take();                  // the body's bytes since the last call
-  [[nodiscard]] bool done() const;                   // the body is whole
-  [[nodiscard]] const std::string& fault() const;    // not empty: the peer does not speak HTTP
+  void end();                             // the peer closed: whole, where nothing told the body's length
+  [[nodiscard]] unsigned status() const;  // 0: the headers have not all come
+  [[nodiscard]] std::string take();       // the body's bytes since the last call
+  [[nodiscard]] bool done() const;        // the body is whole
+  [[nodiscard]] const std::string& fault() const;  // not empty: the peer does not speak HTTP
 
  private:
   struct Parser;
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -31,7 +31,8 @@
   if (!posted_fd_) fail("eventfd");
   watch(posted_fd_.get(), EPOLLIN, [this](std::uint32_t) {
     std::uint64_t n = 0;
-    while (read(posted_fd_.get(), &n, sizeof n) > 0) {}
+    while (read(posted_fd_.get(), &n, sizeof n) > 0) {
+    }
     std::vector<Task> posted;
     {
       const std::lock_guard lock{posted_lock_};
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -35,7 +35,7 @@
   void unwatch(int fd);  // safe from within any handler
   Timer at(Instant when, Task task);
   Timer after(Span span, Task task) { return at(now() + span, std::move(task)); }
-  void cancel(Timer& timer);  // of one that has fired, or none: does nothing
+  void cancel(Timer& timer);                                   // of one that has fired, or none: does nothing
   void soon(Task task) { tasks_.push_back(std::move(task)); }  // in the next turn
   // From any thread: in a turn soon, on the loop's.
   void post(Task task);
@@ -44,7 +44,7 @@
 
   void run();  // until stop()
   void stop() { stopped_ = true; }
-  [[nodiscard]] Instant now() const { return now_; }  // as of this turn
+  [[nodiscard]] Instant now() const { return now_; }            // as of this turn
   [[nodiscard]] std::uint64_t turns() const { return turns_; }  // so far: a loop that spins shows here
 
  private:
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -19,7 +19,9 @@
 
 namespace {
 
-[[noreturn]] void fail(const std::string& what) { throw std::system_error{errno, std::generic_category(), what}; }
+[[noreturn]] void fail(const std::string& what) {
+  throw std::system_error{errno, std::generic_category(), what};
+}
 
 struct SockAddr {
   sockaddr_storage store{};
@@ -64,7 +66,9 @@
   return fd;
 }
 
-void set(const Fd& fd, int level, int name, int value) { setsockopt(fd.get(), level, name, &value, sizeof value); }
+void set(const Fd& fd, int level, int name, int value) {
+  setsockopt(fd.get(), level, name, &value, sizeof value);
+}
 
 void bind_to(const Fd& fd, const Endpoint& at) {
   const SockAddr s = to_sockaddr(at);
@@ -74,8 +78,8 @@
 // The kernel's default holds some hundred datagrams; a burst of lookups at a change of tables is more.
 constexpr int kSocketBuffer = 4 << 20;
 constexpr int kAccepts = 64;  // connections taken before the loop goes round
-constexpr int kTurns = 16;  // batches before the loop goes round: about a millisecond of answers
-constexpr int kReads = 16;  // of one connection before the loop goes round: 256 KiB
+constexpr int kTurns = 16;    // batches before the loop goes round: about a millisecond of answers
+constexpr int kReads = 16;    // of one connection before the loop goes round: 256 KiB
 constexpr int kQueue = 4096;  // connections that wait to be accepted: a whole fleet may dial at once
 
 }  // namespace
@@ -126,7 +130,8 @@
   for (std::size_t k = 0; k < static_cast<std::size_t>(got); ++k) {
     // Cut off by the kernel: longer than any question may be, and not whole.
     if ((b.in_heads[k].msg_hdr.msg_flags & MSG_TRUNC) != 0) continue;
-    const std::size_t size = answer_({b.in[k].data(), b.in_heads[k].msg_len}, to_endpoint(b.from[k]), b.out[n]);
+    const std::size_t size =
+        answer_({b.in[k].data(), b.in_heads[k].msg_len}, to_endpoint(b.from[k]), b.out[n]);
     if (size == 0) continue;
     b.out_parts[n] = {b.out[n].data(), size};
     b.out_heads[n] = {};
@@ -171,7 +176,8 @@
       on_data_{std::move(on_data)},
       on_close_{std::move(on_close)} {}
 
-std::shared_ptr<Connection> Connection::make(Loop& loop, Fd fd, Limits limits, OnData on_data, OnClose on_close) {
+std::shared_ptr<Connection> Connection::make(Loop& loop, Fd fd, Limits limits, OnData on_data,
+                                             OnClose on_close) {
   set(fd, IPPROTO_TCP, TCP_NODELAY, 1);  // does nothing on a UNIX socket
   std::shared_ptr<Connection> c{
       new Connection{loop, std::move(fd), limits, std::move(on_data), std::move(on_close)}};
@@ -383,7 +389,8 @@
 }
 
 void Listener::accept_all() {
-  for (int n = 0; n < kQueue / kAccepts && accept_some(); ++n) {}
+  for (int n = 0; n < kQueue / kAccepts && accept_some(); ++n) {
+  }
 }
 
 bool Listener::accept_some() {
@@ -434,21 +441,23 @@
   return attempt;
 }
 
-std::shared_ptr<void> dial(const std::shared_ptr<Attempt>& attempt, const sockaddr* to, socklen_t size, Done done) {
+std::shared_ptr<void> dial(const std::shared_ptr<Attempt>& attempt, const sockaddr* to, socklen_t size,
+                           Done done) {
   const int code = ::connect(attempt->fd.get(), to, size);
   if (code == 0) return outcome(attempt, std::move(attempt->fd), 0, std::move(done));
   if (errno != EINPROGRESS) return outcome(attempt, Fd{}, errno, std::move(done));
-  attempt->loop.watch(attempt->fd.get(), EPOLLOUT, [weak = std::weak_ptr<Attempt>{attempt}, done = std::move(done)](std::uint32_t) {
-    const auto strong = weak.lock();
-    if (!strong || !strong->fd) return;
-    int fault = 0;
-    socklen_t length = sizeof fault;
-    getsockopt(strong->fd.get(), SOL_SOCKET, SO_ERROR, &fault, &length);
-    const auto tell = done;  // unwatching ends this handler's own copy
-    strong->loop.unwatch(strong->fd.get());
-    Fd fd = std::move(strong->fd);
-    tell(fault == 0 ? std::move(fd) : Fd{}, fault);
-  });
+  attempt->loop.watch(attempt->fd.get(), EPOLLOUT,
+                      [weak = std::weak_ptr<Attempt>{attempt}, done = std::move(done)](std::uint32_t) {
+                        const auto strong = weak.lock();
+                        if (!strong || !strong->fd) return;
+                        int fault = 0;
+                        socklen_t length = sizeof fault;
+                        getsockopt(strong->fd.get(), SOL_SOCKET, SO_ERROR, &fault, &length);
+                        const auto tell = done;  // unwatching ends this handler's own copy
+                        strong->loop.unwatch(strong->fd.get());
+                        Fd fd = std::move(strong->fd);
+                        tell(fault == 0 ? std::move(fd) : Fd{}, fault);
+                      });
   return attempt;
 }
 
@@ -470,7 +479,8 @@
 }
 
 std::shared_ptr<void> connect(Loop& loop, const std::string& path, Done done) {
-  auto attempt = std::make_shared<Attempt>(loop, Fd{::socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)});
+  auto attempt =
+      std::make_shared<Attempt>(loop, Fd{::socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)});
   sockaddr_un a{};
   a.sun_family = AF_UNIX;
   if (!attempt->fd || path.size() >= sizeof a.sun_path)
--- a/src/net/socket.hpp
+++ b/src/net/socket.hpp
@@ -14,15 +14,15 @@
 
 namespace gorsemount::net {
 
-// Answers datagrams in batches (recvmmsg, sendmmsg). A flood gets its turn and no more: after some batches the
-// loop goes round. An answer that the kernel has no room for is dropped and counted; a client asks again.
+// Answers datagrams in batches (recvmmsg, sendmmsg). A flood gets its turn and no more: after some batches
+// the loop goes round. An answer that the kernel has no room for is dropped and counted; a client asks again.
 class UdpServer {
  public:
   static constexpr std::size_t kBatch = 64;
   static constexpr std::size_t kInMost = 4096, kOutMost = 4096;
   // Writes an answer into `out` and returns its size; 0: none.
-  using Answer =
-      std::function<std::size_t(std::span<const std::uint8_t> in, const Endpoint& from, std::span<std::uint8_t> out)>;
+  using Answer = std::function<std::size_t(std::span<const std::uint8_t> in, const Endpoint& from,
+                                           std::span<std::uint8_t> out)>;
 
   UdpServer(Loop& loop, const Endpoint& at, Answer answer);  // throws std::system_error
   ~UdpServer();
@@ -49,8 +49,9 @@
 // A TCP connection. Bytes that came are offered to `on_data`, which returns how many it used. A peer
 // - that sends more than `read_most` without a whole message is closed ("too much"),
 // - that stops reading is no longer read from at half of `write_most`, and closed beyond it ("not reading"),
-// - that makes no progress for `idle` is closed ("idle"): half a message is no progress. Zero: it may be quiet.
-// With `always_read` a peer that does not read is read from all the same, and reset beyond `write_most`.
+// - that makes no progress for `idle` is closed ("idle"): half a message is no progress. Zero: it may be
+// quiet. With `always_read` a peer that does not read is read from all the same, and reset beyond
+// `write_most`.
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
   struct Limits {
@@ -95,18 +96,19 @@
   OnClose on_close_;
   std::string in_, out_;
   std::size_t sent_ = 0;
-  bool finishing_ = false, half_closing_ = false, shut_ = false, reading_ = false, paused_ = false, more_ = false;
+  bool finishing_ = false, half_closing_ = false, shut_ = false, reading_ = false, paused_ = false,
+       more_ = false;
   Loop::Timer idle_;
 };
 
-// Where no descriptor is free, whoever waits is accepted on one held in reserve and closed at once, so that the
-// queue neither stalls nor spins.
+// Where no descriptor is free, whoever waits is accepted on one held in reserve and closed at once, so that
+// the queue neither stalls nor spins.
 class Listener {
  public:
   using OnAccept = std::function<void(Fd, const Endpoint& from)>;
   Listener(Loop& loop, const Endpoint& at, OnAccept on_accept);  // throws std::system_error
-  // A UNIX socket with the given mode bits. One that is left behind is replaced; one that somebody listens on is
-  // not: that throws. Peers have no address.
+  // A UNIX socket with the given mode bits. One that is left behind is replaced; one that somebody listens on
+  // is not: that throws. Peers have no address.
   Listener(Loop& loop, const std::string& path, unsigned mode, OnAccept on_accept);
   ~Listener();
   Listener(const Listener&) = delete;
@@ -125,13 +127,14 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-// Begins a connection; `done` gets it once it stands, or an empty one and the errno that says why not. Returns a
-// handle that cancels it. `from`: the source address, where it matters.
+// Begins a connection; `done` gets it once it stands, or an empty one and the errno that says why not.
+// Returns a handle that cancels it. `from`: the source address, where it matters.
 [[nodiscard]] std::shared_ptr<void> connect(Loop& loop, const Endpoint& to, std::optional<Address> from,
                                             std::function<void(Fd, int fault)> done);
 
 // The same to a UNIX socket.
-[[nodiscard]] std::shared_ptr<void> connect(Loop& loop, const std::string& path, std::function<void(Fd, int)> done);
+[[nodiscard]] std::shared_ptr<void> connect(Loop& loop, const std::string& path,
+                                            std::function<void(Fd, int)> done);
 
 // A bound non-blocking UDP socket. Throws std::system_error.
 [[nodiscard]] Fd udp_socket(const Endpoint& at);
--- a/src/peers/links.cpp
+++ b/src/peers/links.cpp
@@ -54,8 +54,8 @@
     l.attempt.reset();
     // Nothing is ever said back on this stream.
     l.connection = net::Connection::make(
-        loop_, std::move(fd), {1024, kUnsentMost, Span::seconds(30)}, [](std::string_view bytes) { return bytes.size(); },
-        [again](const char*) { again(kDialAgain); });
+        loop_, std::move(fd), {1024, kUnsentMost, Span::seconds(30)},
+        [](std::string_view bytes) { return bytes.size(); }, [again](const char*) { again(kDialAgain); });
   });
   // A connection that neither stands nor fails: a path that swallows everything.
   loop_.cancel(link.again);
--- a/src/peers/links.hpp
+++ b/src/peers/links.hpp
@@ -1,5 +1,6 @@
-// TCP between controllers: a stream to each for what we say, and streams from them for what they say. Frames that
-// are not as they should be are dropped, counted, and named once a peer; too large a frame ends its stream.
+// TCP between controllers: a stream to each for what we say, and streams from them for what they say. Frames
+// that are not as they should be are dropped, counted, and named once a peer; too large a frame ends its
+// stream.
 #pragma once
 
 #include <functional>
@@ -18,8 +19,8 @@
   using Dropped = std::function<void(const std::string& from, const char* why)>;
 
   // Throws std::system_error if it can't listen.
-  Links(net::Loop& loop, cluster::Frames& frames, const Endpoint& listen, std::map<cluster::MemberId, Endpoint> others,
-        Take take, Dropped dropped);
+  Links(net::Loop& loop, cluster::Frames& frames, const Endpoint& listen,
+        std::map<cluster::MemberId, Endpoint> others, Take take, Dropped dropped);
   ~Links();
   Links(const Links&) = delete;
   Links& operator=(const Links&) = delete;
@@ -37,7 +38,8 @@
     net::Loop::Timer again;
   };
   void dial(cluster::MemberId member);
-  std::size_t data(const std::shared_ptr<net::Connection>& connection, const std::string& from, std::string_view bytes);
+  std::size_t data(const std::shared_ptr<net::Connection>& connection, const std::string& from,
+                   std::string_view bytes);
   void drop(const std::string& from, cluster::Drop why);
 
   net::Loop& loop_;
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -326,8 +326,8 @@
   }
 
   // Where few invocations come to a proxy, a line comes only now and then, and what was last told adds up to
-  // more than comes: each is a rate at a time when something came. What all lines count is the sum; the median
-  // of some rounds, since some lines come late.
+  // more than comes: each is a rate at a time when something came. What all lines count is the sum; the
+  // median of some rounds, since some lines come late.
   void weigh_demand(double since) {
     std::vector<double> sums(came.size(), 1e-9);
     for (const auto& [key, rate] : demand) sums[key.second.value] += rate;
@@ -582,7 +582,7 @@
     wanted_levels.resize(s.operations.size(), Level{s.usual_tries, by_rate ? kNoLevel : 1});
     struct Wish {
       OperationId operation;
-      double cost, value;  // the settings tell no cost; the latency objective is their only hint of it
+      double cost, value;         // the settings tell no cost; the latency objective is their only hint of it
       std::vector<double> rates;  // as last told
       double part = 1;            // of their sum that comes
       double told = 0, total = 0;
--- a/src/policy/policy.hpp
+++ b/src/policy/policy.hpp
@@ -113,8 +113,8 @@
 };
 using Order = std::variant<SetLine, BindProxy, SetLevel, FollowList, WakeMe>;
 
-// What one instance knows that is worth more than its life, for the next one or for another beside it. Only what
-// is not whole. Spans count from when it was remembered; `next_in` may be below zero.
+// What one instance knows that is worth more than its life, for the next one or for another beside it. Only
+// what is not whole. Spans count from when it was remembered; `next_in` may be below zero.
 struct Memory {
   struct Rung {
     double share = 1;
@@ -141,8 +141,8 @@
   [[nodiscard]] std::vector<Order> handle(Instant now, const std::vector<Event>& events);
 
   [[nodiscard]] Memory remember(Instant now) const;
-  // Takes over what another knew. The lower share counts, so a recall never raises anything; a backend that is
-  // not listed yet keeps its rung till it is.
+  // Takes over what another knew. The lower share counts, so a recall never raises anything; a backend that
+  // is not listed yet keeps its rung till it is.
   void recall(Instant now, const Memory& memory);
 
  private:
--- a/src/record/file.cpp
+++ b/src/record/file.cpp
@@ -41,17 +41,29 @@
 template <class T>
 hid_t type_of();
 template <>
-hid_t type_of<std::int64_t>() { return H5T_STD_I64LE; }
+hid_t type_of<std::int64_t>() {
+  return H5T_STD_I64LE;
+}
 template <>
-hid_t type_of<std::uint64_t>() { return H5T_STD_U64LE; }
+hid_t type_of<std::uint64_t>() {
+  return H5T_STD_U64LE;
+}
 template <>
-hid_t type_of<std::uint32_t>() { return H5T_STD_U32LE; }
+hid_t type_of<std::uint32_t>() {
+  return H5T_STD_U32LE;
+}
 template <>
-hid_t type_of<std::uint16_t>() { return H5T_STD_U16LE; }
+hid_t type_of<std::uint16_t>() {
+  return H5T_STD_U16LE;
+}
 template <>
-hid_t type_of<std::uint8_t>() { return H5T_STD_U8LE; }
+hid_t type_of<std::uint8_t>() {
+  return H5T_STD_U8LE;
+}
 
-[[noreturn]] void fail(const std::string& file, const std::string& what) { throw std::runtime_error{file + ": " + what}; }
+[[noreturn]] void fail(const std::string& file, const std::string& what) {
+  throw std::runtime_error{file + ": " + what};
+}
 
 // One column that only grows. Rows wait till a chunk is full or a flush comes.
 template <class T>
@@ -66,16 +78,16 @@
     if (sizeof(T) > 1) H5Pset_shuffle(how.get());
     H5Pset_deflate(how.get(), kDeflate);
     H5Pset_fletcher32(how.get());
-    set_ = Handle{H5Dcreate2(file, path.c_str(), type_of<T>(), space.get(), links.get(), how.get(), H5P_DEFAULT), H5Dclose};
+    set_ =
+        Handle{H5Dcreate2(file, path.c_str(), type_of<T>(), space.get(), links.get(), how.get(), H5P_DEFAULT),
+               H5Dclose};
     if (!set_) throw std::runtime_error{path + " can't be made"};
   }
   void add(T value) {
     waiting_.push_back(value);
     if (waiting_.size() >= chunk_) write();
   }
-  void add(const std::string& bytes)
-    requires std::is_same_v<T, std::uint8_t>
-  {
+  void add(const std::string& bytes) requires std::is_same_v<T, std::uint8_t> {
     waiting_.insert(waiting_.end(), bytes.begin(), bytes.end());
     if (waiting_.size() >= chunk_) write();
   }
@@ -134,7 +146,8 @@
       // Bytes before the rows that speak of them.
       inputs.flush(), orders.flush(), settings.flush(), day.flush(), names.flush(), missing.flush();
       t.flush(), inputs_end.flush(), orders_end.flush(), digest.flush();
-      came.flush(), took.flush(), operation.flush(), proxy.flush(), worker.flush(), outcome.flush(), tries.flush();
+      came.flush(), took.flush(), operation.flush(), proxy.flush(), worker.flush(), outcome.flush(),
+          tries.flush();
     } catch (const std::exception& fault) {
       fail(file_name, fault.what());
     }
@@ -143,21 +156,26 @@
   std::string file_name;
   Handle file;
   Column<std::int64_t> t{file.get(), "/steps/t", kChunkRows};
-  Column<std::uint64_t> inputs_end{file.get(), "/steps/inputs_end", kChunkRows}, orders_end{file.get(), "/steps/orders_end", kChunkRows},
+  Column<std::uint64_t> inputs_end{file.get(), "/steps/inputs_end", kChunkRows},
+      orders_end{file.get(), "/steps/orders_end", kChunkRows},
       digest{file.get(), "/steps/digest", kChunkRows};
   Column<std::uint8_t> inputs{file.get(), "/inputs", kChunkBytes}, orders{file.get(), "/orders", kChunkBytes};
   Column<std::int64_t> came{file.get(), "/invocations/came", kChunkRows};
   Column<std::uint32_t> took{file.get(), "/invocations/took", kChunkRows};
-  Column<std::uint8_t> operation{file.get(), "/invocations/operation", kChunkRows}, outcome{file.get(), "/invocations/outcome", kChunkRows},
+  Column<std::uint8_t> operation{file.get(), "/invocations/operation", kChunkRows},
+      outcome{file.get(), "/invocations/outcome", kChunkRows},
       tries{file.get(), "/invocations/tries", kChunkRows};
-  Column<std::uint16_t> proxy{file.get(), "/invocations/proxy", kChunkRows}, worker{file.get(), "/invocations/worker", kChunkRows};
-  Column<std::uint8_t> settings{file.get(), "/text/settings", kChunkBytes}, day{file.get(), "/text/day", kChunkBytes},
-      names{file.get(), "/text/names", kChunkBytes}, missing{file.get(), "/text/missing", kChunkBytes};
+  Column<std::uint16_t> proxy{file.get(), "/invocations/proxy", kChunkRows},
+      worker{file.get(), "/invocations/worker", kChunkRows};
+  Column<std::uint8_t> settings{file.get(), "/text/settings", kChunkBytes},
+      day{file.get(), "/text/day", kChunkBytes}, names{file.get(), "/text/names", kChunkBytes},
+      missing{file.get(), "/text/missing", kChunkBytes};
   std::uint64_t bytes = 0;
   std::int64_t last_came = 0;
 };
 
-Writer::Writer(const std::string& file, const Header& header) : state_{std::make_unique<State>(file, header)} {}
+Writer::Writer(const std::string& file, const Header& header)
+    : state_{std::make_unique<State>(file, header)} {}
 Writer::~Writer() {
   try {
     state_->flush();
@@ -169,7 +187,8 @@
 void Writer::step(const StepRow& row) {
   State& s = *state_;
   s.inputs.add(row.inputs), s.orders.add(row.orders);
-  s.t.add(row.t), s.inputs_end.add(s.inputs.size()), s.orders_end.add(s.orders.size()), s.digest.add(row.digest);
+  s.t.add(row.t), s.inputs_end.add(s.inputs.size()), s.orders_end.add(s.orders.size()),
+      s.digest.add(row.digest);
   s.bytes += 32 + row.inputs.size() + row.orders.size();
 }
 
@@ -178,7 +197,8 @@
   State& s = *state_;
   const std::int64_t came = row.came / 100;
   s.came.add(came - std::exchange(s.last_came, came)), s.took.add(row.took / 100);
-  s.operation.add(row.operation), s.proxy.add(row.proxy), s.worker.add(row.worker), s.outcome.add(row.outcome), s.tries.add(row.tries);
+  s.operation.add(row.operation), s.proxy.add(row.proxy), s.worker.add(row.worker),
+      s.outcome.add(row.outcome), s.tries.add(row.tries);
   s.bytes += 19;
 }
 
@@ -207,7 +227,8 @@
   [[nodiscard]] std::int64_t number(const char* name) const {
     const Handle a{H5Aopen(file_.get(), name, H5P_DEFAULT), H5Aclose};
     std::int64_t value = 0;
-    if (!a || H5Aread(a.get(), H5T_NATIVE_INT64, &value) < 0) fail(name_, std::string{"attribute '"} + name + "' is missing");
+    if (!a || H5Aread(a.get(), H5T_NATIVE_INT64, &value) < 0)
+      fail(name_, std::string{"attribute '"} + name + "' is missing");
     return value;
   }
   template <class T>
@@ -219,9 +240,11 @@
     }
     const Handle space{H5Dget_space(set.get()), H5Sclose};
     hsize_t n = 0;
-    if (H5Sget_simple_extent_ndims(space.get()) != 1) fail(name_, "column " + path + " has not one dimension");
+    if (H5Sget_simple_extent_ndims(space.get()) != 1)
+      fail(name_, "column " + path + " has not one dimension");
     H5Sget_simple_extent_dims(space.get(), &n, nullptr);
-    if (n > left_ / sizeof(T)) fail(name_, "column " + path + " announces " + std::to_string(n) + " rows, more than may be read");
+    if (n > left_ / sizeof(T))
+      fail(name_, "column " + path + " announces " + std::to_string(n) + " rows, more than may be read");
     left_ -= n * sizeof(T);
     std::vector<T> rows;
     // By chunk, so that the place of a damage can be told.
@@ -232,7 +255,8 @@
       H5Sselect_hyperslab(space.get(), H5S_SELECT_SET, &from, nullptr, &part, nullptr);
       const Handle here{H5Screate_simple(1, &part, nullptr), H5Sclose};
       if (H5Dread(set.get(), type_of<T>(), here.get(), space.get(), H5P_DEFAULT, rows.data() + from) < 0)
-        fail(name_, "column " + path + ", rows " + std::to_string(from) + " to " + std::to_string(from + part - 1) + ": damaged (checksum or compression)");
+        fail(name_, "column " + path + ", rows " + std::to_string(from) + " to " +
+                        std::to_string(from + part - 1) + ": damaged (checksum or compression)");
     }
     return rows;
   }
@@ -257,22 +281,28 @@
   Reader in{file, bytes_most};
   const std::int64_t schema = in.number("schema");
   if (schema < kSchemaOldest || schema > kSchema)
-    fail(file, "schema " + std::to_string(schema) + "; this program reads " + std::to_string(kSchemaOldest) + " to " + std::to_string(kSchema));
+    fail(file, "schema " + std::to_string(schema) + "; this program reads " + std::to_string(kSchemaOldest) +
+                   " to " + std::to_string(kSchema));
   r.header.schema = static_cast<int>(schema), r.header.began_wall = in.number("began_wall_us");
   r.header.settings = in.text("/text/settings"), r.header.day = in.text("/text/day");
   std::istringstream names{in.text("/text/names")};
   std::size_t place = 0;
   for (std::string line; std::getline(names, line); ++place) {
     const auto j = nlohmann::json::parse(line, nullptr, false);
-    if (!j.is_object() || !j.value("name", nlohmann::json{}).is_string() || !j.value("number", nlohmann::json{}).is_number_unsigned()) {
+    if (!j.is_object() || !j.value("name", nlohmann::json{}).is_string() ||
+        !j.value("number", nlohmann::json{}).is_number_unsigned()) {
       if (names.eof()) break;  // the last line, half written
       fail(file, "/text/names, line " + std::to_string(place + 1) + ": not a name");
     }
     const std::string kind = j.value("kind", "");
     const auto number = j.value("number", std::size_t{0});
-    if (number > 65535) fail(file, "/text/names, line " + std::to_string(place + 1) + ": a number out of range");
+    if (number > 65535)
+      fail(file, "/text/names, line " + std::to_string(place + 1) + ": a number out of range");
     if (kind == "coordinator") r.header.name = j.value("name", "");
-    auto* list = kind == "proxy" ? &r.proxies : kind == "worker" ? &r.workers : kind == "operation" ? &r.operations : nullptr;
+    auto* list = kind == "proxy"       ? &r.proxies
+                 : kind == "worker"    ? &r.workers
+                 : kind == "operation" ? &r.operations
+                                       : nullptr;
     if (list == nullptr) continue;
     if (list->size() <= number) list->resize(number + 1);
     (*list)[number] = j.value("name", "");
@@ -281,36 +311,42 @@
   for (std::string line; std::getline(missing, line);) r.missing.push_back(line);
   {
     const auto t = in.column<std::int64_t>("/steps/t");
-    const auto inputs_end = in.column<std::uint64_t>("/steps/inputs_end"), orders_end = in.column<std::uint64_t>("/steps/orders_end"),
+    const auto inputs_end = in.column<std::uint64_t>("/steps/inputs_end"),
+               orders_end = in.column<std::uint64_t>("/steps/orders_end"),
                digest = in.column<std::uint64_t>("/steps/digest");
     const std::string inputs = in.text("/inputs"), orders = in.text("/orders");
     const std::size_t n = std::min({t.size(), inputs_end.size(), orders_end.size(), digest.size()});
     r.cut = n < std::max({t.size(), inputs_end.size(), orders_end.size(), digest.size()});
     std::uint64_t i = 0, o = 0;
     for (std::size_t k = 0; k < n; ++k) {
-      if (inputs_end[k] < i || orders_end[k] < o) fail(file, "/steps, row " + std::to_string(k) + ": its bytes end before they begin");
+      if (inputs_end[k] < i || orders_end[k] < o)
+        fail(file, "/steps, row " + std::to_string(k) + ": its bytes end before they begin");
       if (inputs_end[k] > inputs.size() || orders_end[k] > orders.size()) {
         r.cut = true;
         break;
       }
-      r.steps.push_back({t[k], digest[k], inputs.substr(i, inputs_end[k] - i), orders.substr(o, orders_end[k] - o)});
+      r.steps.push_back(
+          {t[k], digest[k], inputs.substr(i, inputs_end[k] - i), orders.substr(o, orders_end[k] - o)});
       i = inputs_end[k], o = orders_end[k];
     }
   }
   const auto came = in.column<std::int64_t>("/invocations/came");
   const auto took = in.column<std::uint32_t>("/invocations/took");
-  const auto operation = in.column<std::uint8_t>("/invocations/operation"), outcome = in.column<std::uint8_t>("/invocations/outcome");
+  const auto operation = in.column<std::uint8_t>("/invocations/operation"),
+             outcome = in.column<std::uint8_t>("/invocations/outcome");
   const auto tries = in.column<std::uint8_t>("/invocations/tries", schema >= 2);
-  const auto proxy = in.column<std::uint16_t>("/invocations/proxy"), worker = in.column<std::uint16_t>("/invocations/worker");
-  const std::size_t n = std::min({came.size(), took.size(), operation.size(), outcome.size(), proxy.size(), worker.size(),
-                                  schema >= 2 ? tries.size() : came.size()});
+  const auto proxy = in.column<std::uint16_t>("/invocations/proxy"),
+             worker = in.column<std::uint16_t>("/invocations/worker");
+  const std::size_t n = std::min({came.size(), took.size(), operation.size(), outcome.size(), proxy.size(),
+                                  worker.size(), schema >= 2 ? tries.size() : came.size()});
   r.cut = r.cut || n < came.size();
   std::int64_t at = 0;
   for (std::size_t k = 0; k < n; ++k) {
     at += came[k];
     if (outcome[k] > static_cast<std::uint8_t>(Outcome::open) || at < -(1LL << 50U) || at > 1LL << 50U)
       fail(file, "/invocations, row " + std::to_string(k) + ": a value out of range");
-    r.invocations.push_back({at * 100, took[k] * 100, operation[k], outcome[k], schema >= 2 ? tries[k] : std::uint8_t{1}, proxy[k], worker[k]});
+    r.invocations.push_back({at * 100, took[k] * 100, operation[k], outcome[k],
+                             schema >= 2 ? tries[k] : std::uint8_t{1}, proxy[k], worker[k]});
   }
   return r;
 }
--- a/src/record/file.hpp
+++ b/src/record/file.hpp
@@ -1,8 +1,8 @@
-// A recording on disk: HDF5, columns in compressed chunks with a checksum each. Written so that a reader can follow,
-// and so that a writer that is killed leaves a file that reads up to what was flushed last.
+// A recording on disk: HDF5, columns in compressed chunks with a checksum each. Written so that a reader can
+// follow, and so that a writer that is killed leaves a file that reads up to what was flushed last.
 //
-//   /steps/{t,inputs_end,orders_end,digest}   one row a step of the coordinator; t in micros from the beginning
-//   /inputs, /orders                          bytes; a step's end where the columns say
+//   /steps/{t,inputs_end,orders_end,digest}   one row a step of the coordinator; t in micros from the
+//   beginning /inputs, /orders                          bytes; a step's end where the columns say
 //   /invocations/{came,took,operation,proxy,worker,outcome,tries}   micros; worker 65535: none
 //   /text/{settings,day,names,missing}        UTF-8; names and missing are JSON lines
 #pragma once
@@ -14,7 +14,7 @@
 
 namespace gorsemount::record {
 
-inline constexpr int kSchema = 2;       // 1 had no `tries`
+inline constexpr int kSchema = 2;  // 1 had no `tries`
 inline constexpr int kSchemaOldest = 1;
 
 enum class Outcome : std::uint8_t { succeeded, late, errored, limited, no_line, open };
@@ -49,7 +49,8 @@
 
   void step(const StepRow& row);
   void invocation(const InvocationRow& row);
-  void name(const std::string& kind, std::size_t number, const std::string& name);  // what a number stands for
+  void name(const std::string& kind, std::size_t number,
+            const std::string& name);  // what a number stands for
   void missing(const std::string& what, std::uint64_t n);
   // All so far is on its way to the disk, whole. Throws std::runtime_error if it can't be.
   void flush();
@@ -70,8 +71,9 @@
   bool cut = false;                  // it ends before what its columns announce
 };
 
-// Reads a file, or up to its last whole row where it was cut. Throws std::runtime_error with the file, the place and
-// what is wrong: a checksum, a schema that is not known, sizes that can't be. Takes no more memory than `bytes_most`.
+// Reads a file, or up to its last whole row where it was cut. Throws std::runtime_error with the file, the
+// place and what is wrong: a checksum, a schema that is not known, sizes that can't be. Takes no more memory
+// than `bytes_most`.
 [[nodiscard]] Recording read(const std::string& file, std::uint64_t bytes_most = 4ULL << 30U);
 
 }  // namespace gorsemount::record
--- a/src/record/recorder.cpp
+++ b/src/record/recorder.cpp
@@ -19,15 +19,21 @@
 
 // A killed process loses what was not flushed: a second of it.
 const Span kFlush = Span::seconds(1);
-// Steps in a piece: about 2 ms of encoding at 300 workers, so that what is promised waits no longer for a lane.
+// Steps in a piece: about 2 ms of encoding at 300 workers, so that what is promised waits no longer for a
+// lane.
 constexpr std::size_t kPiece = 64;
 // Of a core: compressing may take what it needs of one that nobody else wants, but no more than half of it.
 constexpr double kShare = 0.5;
 
 }  // namespace
 
-Recorder::Recorder(background::Background& background, RecorderSettings settings, Header header, Instant base, std::function<void(const std::string&)> said)
-    : background_{background}, s_{std::move(settings)}, header_{std::move(header)}, base_{base}, said_{std::move(said)},
+Recorder::Recorder(background::Background& background, RecorderSettings settings, Header header, Instant base,
+                   std::function<void(const std::string&)> said)
+    : background_{background},
+      s_{std::move(settings)},
+      header_{std::move(header)},
+      base_{base},
+      said_{std::move(said)},
       writer_{std::make_unique<Writer>(s_.file, header_)} {
   write_ = background_.add({"record", 2, {}, 0, kShare}, [this] { return piece(kPiece); });
   flush_ = background_.add({"record flush", 2, kFlush, 0, kShare}, [this] { return flush(); });
@@ -35,11 +41,13 @@
 
 Recorder::~Recorder() {
   background_.remove(write_), background_.remove(flush_);
-  while (!piece(kPiece).done) {}
+  while (!piece(kPiece).done) {
+  }
   static_cast<void>(flush());
 }
 
-void Recorder::step(Instant now, std::vector<coordinator::Input> inputs, const coordinator::Effects& effects) {
+void Recorder::step(Instant now, std::vector<coordinator::Input> inputs,
+                    const coordinator::Effects& effects) {
   bool first = false;
   {
     const std::lock_guard lock{lock_};
@@ -91,7 +99,8 @@
   {
     const std::lock_guard lock{lock_};
     if (broken_) return {};
-    for (; batch.size() < most && !waiting_.empty(); waiting_.pop_front()) batch.push_back(std::move(waiting_.front()));
+    for (; batch.size() < most && !waiting_.empty(); waiting_.pop_front())
+      batch.push_back(std::move(waiting_.front()));
     more = !waiting_.empty();
   }
   const std::lock_guard hold{writer_lock_};
--- a/src/record/recorder.hpp
+++ b/src/record/recorder.hpp
@@ -1,5 +1,6 @@
-// Records a coordinator while it runs. The one who steps hands over and goes on: encoding, compressing and writing
-// are background work. What there is no room or no disk for is left out in a stated order, and the file says so.
+// Records a coordinator while it runs. The one who steps hands over and goes on: encoding, compressing and
+// writing are background work. What there is no room or no disk for is left out in a stated order, and the
+// file says so.
 #pragma once
 
 #include <deque>
@@ -13,23 +14,25 @@
 
 namespace gorsemount::record {
 
-// What of a step is kept. The order in which detail goes when the disk is slow: first what was ordered, in words (its
-// digest stays, so a replay can still be compared); then what was heard (then nothing can be replayed from there on);
-// then the step.
+// What of a step is kept. The order in which detail goes when the disk is slow: first what was ordered, in
+// words (its digest stays, so a replay can still be compared); then what was heard (then nothing can be
+// replayed from there on); then the step.
 enum class Detail { all, no_orders, no_inputs, nothing };
 [[nodiscard]] Detail detail_for(std::size_t waiting, std::size_t most);
 
 struct RecorderSettings {
   std::string file;
-  std::uint64_t bytes_most = 2ULL << 30U;  // before compression; then a new file begins and one old one is kept
-  std::size_t waiting_most = 4096;         // steps
+  std::uint64_t bytes_most =
+      2ULL << 30U;                  // before compression; then a new file begins and one old one is kept
+  std::size_t waiting_most = 4096;  // steps
 };
 
 class Recorder {
  public:
-  // `said` is called from a background thread, once a fault. Throws std::runtime_error if the file can't be made.
-  // `background` outlives it.
-  Recorder(background::Background& background, RecorderSettings settings, Header header, Instant base, std::function<void(const std::string&)> said);
+  // `said` is called from a background thread, once a fault. Throws std::runtime_error if the file can't be
+  // made. `background` outlives it.
+  Recorder(background::Background& background, RecorderSettings settings, Header header, Instant base,
+           std::function<void(const std::string&)> said);
   ~Recorder();  // what was handed over is written
   Recorder(const Recorder&) = delete;
   Recorder& operator=(const Recorder&) = delete;
--- a/src/record/tools.cpp
+++ b/src/record/tools.cpp
@@ -17,7 +17,9 @@
 
 constexpr const char* kOutcomes[] = {"succeeded", "late", "errored", "rate_limited", "no_line", "open"};
 
-std::string at(const std::vector<std::string>& names, std::size_t k) { return k < names.size() ? names[k] : std::to_string(k); }
+std::string at(const std::vector<std::string>& names, std::size_t k) {
+  return k < names.size() ? names[k] : std::to_string(k);
+}
 
 // When each worker's processes started, by what it said of itself, on the recorder's clock.
 std::map<std::string, std::vector<double>> starts(const Recording& r) {
@@ -45,12 +47,15 @@
   std::map<int, std::size_t> outcomes;
   for (const auto& i : r.invocations) ++outcomes[i.outcome];
   const double length = r.steps.empty() ? 0 : static_cast<double>(r.steps.back().t - r.steps.front().t) / 1e6;
-  std::string text = fmt::format("{}: schema {}, of {}, {} bytes{}\n", file, r.header.schema, r.header.name, r.size, r.cut ? ", cut off: read up to its last whole row" : "");
-  text += fmt::format("  steps {} over {:.1f} s; heard {} bytes, ordered {} bytes\n", r.steps.size(), length, inputs, orders);
+  std::string text = fmt::format("{}: schema {}, of {}, {} bytes{}\n", file, r.header.schema, r.header.name,
+                                 r.size, r.cut ? ", cut off: read up to its last whole row" : "");
+  text += fmt::format("  steps {} over {:.1f} s; heard {} bytes, ordered {} bytes\n", r.steps.size(), length,
+                      inputs, orders);
   text += fmt::format("  invocations {}", r.invocations.size());
   for (const auto& [o, n] : outcomes) text += fmt::format(", {} {}", kOutcomes[o], n);
-  text += fmt::format("\n  operations {}, proxies {}, workers {}; settings {} bytes, day {} bytes\n", r.operations.size(), r.proxies.size(),
-                      r.workers.size(), r.header.settings.size(), r.header.day.size());
+  text += fmt::format("\n  operations {}, proxies {}, workers {}; settings {} bytes, day {} bytes\n",
+                      r.operations.size(), r.proxies.size(), r.workers.size(), r.header.settings.size(),
+                      r.header.day.size());
   for (const auto& m : r.missing) text += "  missing: " + m + "\n";
   return text;
 }
@@ -61,7 +66,8 @@
   for (std::size_t k = 0; k < r.steps.size(); ++k) {
     const auto& s = r.steps[k];
     if (k % 1000 == 0) progress(static_cast<double>(k) / static_cast<double>(r.steps.size()));
-    if (s.t < last) wrong.push_back(fmt::format("step {}: its time {} lies before that of the step before", k, s.t));
+    if (s.t < last)
+      wrong.push_back(fmt::format("step {}: its time {} lies before that of the step before", k, s.t));
     last = s.t;
     if (!s.inputs.empty())
       if (const auto inputs = decode(s.inputs, Instant{}); std::holds_alternative<std::string>(inputs))
@@ -72,15 +78,18 @@
   }
   for (std::size_t k = 0; k < r.invocations.size() && wrong.size() < 20; ++k) {
     const auto& i = r.invocations[k];
-    if (!r.operations.empty() && i.operation >= r.operations.size()) wrong.push_back(fmt::format("invocation {}: no operation {}", k, i.operation));
-    if (!r.workers.empty() && i.worker != 65535 && i.worker >= r.workers.size()) wrong.push_back(fmt::format("invocation {}: no worker {}", k, i.worker));
+    if (!r.operations.empty() && i.operation >= r.operations.size())
+      wrong.push_back(fmt::format("invocation {}: no operation {}", k, i.operation));
+    if (!r.workers.empty() && i.worker != 65535 && i.worker >= r.workers.size())
+      wrong.push_back(fmt::format("invocation {}: no worker {}", k, i.worker));
   }
   return wrong;
 }
 
 Recording cut(const Recording& r, double from, double to) {
   Recording part = r;
-  const std::int64_t begin = r.steps.empty() ? (r.invocations.empty() ? 0 : r.invocations.front().came) : r.steps.front().t;
+  const std::int64_t begin =
+      r.steps.empty() ? (r.invocations.empty() ? 0 : r.invocations.front().came) : r.steps.front().t;
   const auto out = [&](std::int64_t t) {
     const double at = static_cast<double>(t - begin) / 1e6;
     return at < from || at >= to;
@@ -96,14 +105,19 @@
   const auto of_a = starts(a), of_b = starts(b);
   std::vector<double> offsets;
   for (const auto& [boot, times] : of_b)
-    if (const auto it = of_a.find(boot); it != of_a.end()) offsets.push_back(middle(it->second) - middle(times));
-  if (offsets.empty()) throw std::runtime_error{"the two recordings heard of no worker in common: their clocks can't be compared"};
+    if (const auto it = of_a.find(boot); it != of_a.end())
+      offsets.push_back(middle(it->second) - middle(times));
+  if (offsets.empty())
+    throw std::runtime_error{
+        "the two recordings heard of no worker in common: their clocks can't be compared"};
   m.common = offsets.size(), m.offset = middle(offsets);
   for (const double o : offsets) m.spread = std::max(m.spread, std::abs(o - m.offset));
   m.recording = a;
-  // The second one's invocations under the first one's numbers. Its steps are another coordinator's and stay apart.
+  // The second one's invocations under the first one's numbers. Its steps are another coordinator's and stay
+  // apart.
   const auto by = static_cast<std::int64_t>(m.offset * 1e6);
-  const auto number = [](std::vector<std::string>& names, const std::vector<std::string>& theirs, std::size_t k) {
+  const auto number = [](std::vector<std::string>& names, const std::vector<std::string>& theirs,
+                         std::size_t k) {
     const std::string name = at(theirs, k);
     const auto it = std::find(names.begin(), names.end(), name);
     if (it != names.end()) return static_cast<std::size_t>(it - names.begin());
@@ -114,10 +128,12 @@
     i.came += by;
     i.operation = static_cast<std::uint8_t>(number(m.recording.operations, b.operations, i.operation));
     i.proxy = static_cast<std::uint16_t>(number(m.recording.proxies, b.proxies, i.proxy));
-    if (i.worker != 65535) i.worker = static_cast<std::uint16_t>(number(m.recording.workers, b.workers, i.worker));
+    if (i.worker != 65535)
+      i.worker = static_cast<std::uint16_t>(number(m.recording.workers, b.workers, i.worker));
     m.recording.invocations.push_back(i);
   }
-  std::stable_sort(m.recording.invocations.begin(), m.recording.invocations.end(), [](const auto& x, const auto& y) { return x.came < y.came; });
+  std::stable_sort(m.recording.invocations.begin(), m.recording.invocations.end(),
+                   [](const auto& x, const auto& y) { return x.came < y.came; });
   m.recording.missing.insert(m.recording.missing.end(), b.missing.begin(), b.missing.end());
   return m;
 }
@@ -130,10 +146,14 @@
     for (const auto& s : r.steps) {
       if (csv) {
         std::string orders = s.orders;
-        for (std::size_t k = 0; (k = orders.find('"', k)) != std::string::npos; k += 2) orders.insert(k, "\"");
+        for (std::size_t k = 0; (k = orders.find('"', k)) != std::string::npos; k += 2)
+          orders.insert(k, "\"");
         text += fmt::format("{},{:016x},\"{}\"\n", s.t, s.digest, orders);
       } else {
-        text += nlohmann::json{{"t_us", s.t}, {"digest", fmt::format("{:016x}", s.digest)}, {"orders", s.orders}}.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n";
+        text +=
+            nlohmann::json{{"t_us", s.t}, {"digest", fmt::format("{:016x}", s.digest)}, {"orders", s.orders}}
+                .dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) +
+            "\n";
       }
     }
     return text;
@@ -142,10 +162,18 @@
   for (const auto& i : r.invocations) {
     const std::string worker = i.worker == 65535 ? "" : at(r.workers, i.worker);
     if (csv) {
-      text += fmt::format("{},{},{},{},{},{},{}\n", i.came, i.took, at(r.operations, i.operation), at(r.proxies, i.proxy), worker, kOutcomes[i.outcome], i.tries);
+      text += fmt::format("{},{},{},{},{},{},{}\n", i.came, i.took, at(r.operations, i.operation),
+                          at(r.proxies, i.proxy), worker, kOutcomes[i.outcome], i.tries);
     } else {
-      text += nlohmann::json{{"came_us", i.came}, {"took_us", i.took}, {"operation", at(r.operations, i.operation)}, {"proxy", at(r.proxies, i.proxy)},
-                             {"worker", worker}, {"outcome", kOutcomes[i.outcome]}, {"tries", i.tries}}.dump() + "\n";
+      text += nlohmann::json{{"came_us", i.came},
+                             {"took_us", i.took},
+                             {"operation", at(r.operations, i.operation)},
+                             {"proxy", at(r.proxies, i.proxy)},
+                             {"worker", worker},
+                             {"outcome", kOutcomes[i.outcome]},
+                             {"tries", i.tries}}
+                  .dump() +
+              "\n";
     }
   }
   return text;
@@ -155,7 +183,8 @@
   Header header = r.header;
   header.schema = kSchema;
   Writer w{file, header};
-  for (const auto& [kind, names] : {std::pair{"operation", &r.operations}, {"proxy", &r.proxies}, {"worker", &r.workers}})
+  for (const auto& [kind, names] :
+       {std::pair{"operation", &r.operations}, {"proxy", &r.proxies}, {"worker", &r.workers}})
     for (std::size_t k = 0; k < names->size(); ++k) w.name(kind, k, (*names)[k]);
   for (const auto& s : r.steps) w.step(s);
   for (const auto& i : r.invocations) w.invocation(i);
--- a/src/record/tools.hpp
+++ b/src/record/tools.hpp
@@ -10,11 +10,12 @@
 
 [[nodiscard]] std::string info(const Recording& r, const std::string& file);
 // Reads every input and every digest again; what is wrong, with its place. Empty: nothing.
-[[nodiscard]] std::vector<std::string> verify(const Recording& r, const std::function<void(double)>& progress);
+[[nodiscard]] std::vector<std::string> verify(const Recording& r,
+                                              const std::function<void(double)>& progress);
 // Seconds from the beginning.
 [[nodiscard]] Recording cut(const Recording& r, double from, double to);
-// Two coordinators' records of one day. Their clocks' offset is reckoned from when workers that both heard of started;
-// throws std::runtime_error if they have none in common.
+// Two coordinators' records of one day. Their clocks' offset is reckoned from when workers that both heard of
+// started; throws std::runtime_error if they have none in common.
 struct Merged {
   Recording recording;
   double offset = 0;       // s to be added to the second one's times
--- a/src/recovery/age.cpp
+++ b/src/recovery/age.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-// A disciplined clock is slewed by far less; a minute is somebody's hand, or a network's first answer after a boot.
+// A disciplined clock is slewed by far less; a minute is somebody's hand, or a network's first answer after a
+// boot.
 constexpr std::int64_t kJump = 60'000'000;
 
 }  // namespace
--- a/src/recovery/age.hpp
+++ b/src/recovery/age.hpp
@@ -1,5 +1,5 @@
-// Decides how old a memory is, from three clocks of which two may lie: the monotonic one, which counts only within one
-// boot, and the wall clock, which people and networks move.
+// Decides how old a memory is, from three clocks of which two may lie: the monotonic one, which counts only
+// within one boot, and the wall clock, which people and networks move.
 #pragma once
 
 #include <optional>
@@ -10,9 +10,9 @@
 namespace gorsemount::recovery {
 
 struct Clocks {
-  std::string boot;        // of the machine
-  std::int64_t mono = 0;   // micros since then
-  std::int64_t wall = 0;   // micros since 1970
+  std::string boot;       // of the machine
+  std::int64_t mono = 0;  // micros since then
+  std::int64_t wall = 0;  // micros since 1970
 };
 struct Age {
   std::optional<Span> span;  // absent: nobody can tell, so nothing acts
--- a/src/recovery/belief.cpp
+++ b/src/recovery/belief.cpp
@@ -7,39 +7,48 @@
 
 namespace {
 
-constexpr double kActs = 0.25;     // two half-lives: what is left after that is more often wrong than right
-constexpr double kHint = 1.0 / 64; // six
-constexpr double kOutMost = 0.4;   // the module's own panic bound
+constexpr double kActs = 0.25;      // two half-lives: what is left after that is more often wrong than right
+constexpr double kHint = 1.0 / 64;  // six
+constexpr double kOutMost = 0.4;    // the module's own panic bound
 
 constexpr double kMinute = 60, kHour = 3600, kDay = 86400;
 
 }  // namespace
 
 // By nature. A ladder's longest hold is 80 s, its climb 120 s: after two minutes it would be whole or nearly.
-// Capacity changes with releases and with hardware, by the day's work; rates have the week's pattern. A drain and a
-// person's order stand till something says otherwise or their own time is over; but no order outlives a shift and
-// the next unseen.
+// Capacity changes with releases and with hardware, by the day's work; rates have the week's pattern. A drain
+// and a person's order stand till something says otherwise or their own time is over; but no order outlives a
+// shift and the next unseen.
 Span half_life(Kind kind) {
   switch (kind) {
     case Kind::zone_ladder:
     case Kind::backend_ladder:
-    case Kind::link_ladder: return Span::seconds(kMinute);
-    case Kind::cold_start: return Span::seconds(5 * kMinute);
-    case Kind::drain: return Span::seconds(kHour);
-    case Kind::carried: return Span::seconds(4 * kHour);
-    case Kind::usual_rate: return Span::seconds(3 * kDay);
+    case Kind::link_ladder:
+      return Span::seconds(kMinute);
+    case Kind::cold_start:
+      return Span::seconds(5 * kMinute);
+    case Kind::drain:
+      return Span::seconds(kHour);
+    case Kind::carried:
+      return Span::seconds(4 * kHour);
+    case Kind::usual_rate:
+      return Span::seconds(3 * kDay);
     case Kind::sent_table:
     case Kind::held_table:
-    case Kind::further_tries: return Span::seconds(10);
+    case Kind::further_tries:
+      return Span::seconds(10);
     case Kind::person_weight:
     case Kind::person_out:
     case Kind::person_zone:
-    case Kind::hold: return Span::seconds(8 * kHour);
+    case Kind::hold:
+      return Span::seconds(8 * kHour);
     case Kind::group_seen:
     case Kind::group_table:
     case Kind::table_lines:
-    case Kind::table_levels: return Span::seconds(15);
-    case Kind::fleet: return Span::seconds(kHour);
+    case Kind::table_levels:
+      return Span::seconds(15);
+    case Kind::fleet:
+      return Span::seconds(kHour);
   }
   return {};
 }
@@ -70,7 +79,8 @@
     Weight weight = e.gone ? Weight::nothing : weigh(e.subject.kind, now - confirmed);
     // Learned after it was confirmed: two clocks, or a clock that went back.
     if (weight == Weight::acts && e.learned > confirmed) weight = Weight::hint;
-    if (weight == Weight::acts && e.subject.kind == Kind::backend_ladder && b.too_many_out) weight = Weight::hint;
+    if (weight == Weight::acts && e.subject.kind == Kind::backend_ladder && b.too_many_out)
+      weight = Weight::hint;
     if (weight == Weight::acts) b.acts.push_back(e);
     if (weight == Weight::hint) b.hints.push_back(e);
   }
@@ -83,8 +93,10 @@
     case Kind::person_out:
     case Kind::person_zone:
     case Kind::hold:
-    case Kind::group_seen: return true;
-    default: return false;
+    case Kind::group_seen:
+      return true;
+    default:
+      return false;
   }
 }
 
--- a/src/recovery/codec.cpp
+++ b/src/recovery/codec.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr std::size_t kFiguresMost = 4096;          // of one fact
-constexpr std::size_t kNameMost = 512;              // bytes
-constexpr std::int64_t kMicrosMost = 1LL << 52U;    // a hundred years and more: beyond it no sum is safe
+constexpr std::size_t kFiguresMost = 4096;        // of one fact
+constexpr std::size_t kNameMost = 512;            // bytes
+constexpr std::int64_t kMicrosMost = 1LL << 52U;  // a hundred years and more: beyond it no sum is safe
 
 bool fits(const flatbuffers::String* s) { return s == nullptr || s->size() <= kNameMost; }
 bool fits(std::int64_t micros) { return micros > -kMicrosMost && micros < kMicrosMost; }
@@ -23,7 +23,8 @@
   rows.reserve(entries.size());
   for (const auto& e : entries) {
     std::vector<flatbuffers::Offset<wire::Figure>> figures;
-    for (const auto& [name, value] : e.fact.figures) figures.push_back(wire::CreateFigure(fbb, fbb.CreateSharedString(name), value));
+    for (const auto& [name, value] : e.fact.figures)
+      figures.push_back(wire::CreateFigure(fbb, fbb.CreateSharedString(name), value));
     std::vector<flatbuffers::Offset<wire::Time>> times;
     for (const auto& [name, time] : e.fact.times)
       times.push_back(wire::CreateTime(fbb, fbb.CreateSharedString(name), (time - base).micros()));
@@ -31,8 +32,9 @@
     const auto instance = fbb.CreateString(e.fact.instance);
     const auto figure_rows = fbb.CreateVector(figures);
     const auto time_rows = fbb.CreateVector(times);
-    rows.push_back(wire::CreateEntry(fbb, static_cast<std::uint8_t>(e.subject.kind), name, instance, e.sequence, e.gone,
-                                     (e.learned - base).micros(), figure_rows, time_rows));
+    rows.push_back(wire::CreateEntry(fbb, static_cast<std::uint8_t>(e.subject.kind), name, instance,
+                                     e.sequence, e.gone, (e.learned - base).micros(), figure_rows,
+                                     time_rows));
   }
   fbb.Finish(wire::CreateBatch(fbb, fbb.CreateVector(rows)));
   return {reinterpret_cast<const char*>(fbb.GetBufferPointer()), fbb.GetSize()};
@@ -46,7 +48,8 @@
     return copy;
   }();
   const auto* data = reinterpret_cast<const std::uint8_t*>(words.data());
-  flatbuffers::Verifier verifier{data, bytes.size(), 16, static_cast<flatbuffers::uoffset_t>(bytes.size() + 16)};
+  flatbuffers::Verifier verifier{data, bytes.size(), 16,
+                                 static_cast<flatbuffers::uoffset_t>(bytes.size() + 16)};
   if (bytes.size() < 8 || !wire::VerifyBatchBuffer(verifier)) return std::string{"not a batch of facts"};
   std::vector<Entry> entries;
   const auto* rows = wire::GetBatch(data)->entries();
--- a/src/recovery/facts.hpp
+++ b/src/recovery/facts.hpp
@@ -1,5 +1,5 @@
-// What is worth keeping longer than one process, or worth telling another controller: facts by kind and name, in
-// plain types. No I/O, no clock.
+// What is worth keeping longer than one process, or worth telling another controller: facts by kind and name,
+// in plain types. No I/O, no clock.
 #pragma once
 
 #include <compare>
@@ -21,7 +21,8 @@
   usual_rate,      // by proxy; invocations a second
   sent_table,      // by forwarder; the version that it was sent
   held_table,      // by forwarder; the version that it last said it holds
-  further_tries,   // by forwarder; the part of its first tries that it may try again, where that is not the usual
+  further_tries,   // by forwarder; the part of its first tries that it may try again, where that is not the
+                   // usual
   person_weight,   // by backend; times: until, ordered
   person_out,      // by backend; times: ordered
   person_zone,     // by zone; times: since, ordered
@@ -42,9 +43,9 @@
 };
 
 struct Fact {
-  std::string instance;                   // of which machine it speaks; of another one it says nothing
+  std::string instance;  // of which machine it speaks; of another one it says nothing
   std::map<std::string, double> figures;
-  std::map<std::string, Instant> times;   // on the clock of whoever holds the fact
+  std::map<std::string, Instant> times;  // on the clock of whoever holds the fact
 };
 using Facts = std::map<Subject, Fact>;
 
--- a/src/recovery/knowledge.cpp
+++ b/src/recovery/knowledge.cpp
@@ -9,19 +9,23 @@
 
 namespace {
 
-const Span kTimeNoise = Span::seconds(0.25);   // a start is reckoned from two readings; they differ by a trip
-constexpr double kRateNoise = 0.1;             // measured rates move by that much from round to round
-const Span kGoneKept = Span::seconds(600);     // as long as the core remembers a backend that left
+const Span kTimeNoise = Span::seconds(0.25);  // a start is reckoned from two readings; they differ by a trip
+constexpr double kRateNoise = 0.1;            // measured rates move by that much from round to round
+const Span kGoneKept = Span::seconds(600);    // as long as the core remembers a backend that left
 
-bool measured(Kind kind) { return kind == Kind::usual_rate || kind == Kind::carried || kind == Kind::further_tries; }
+bool measured(Kind kind) {
+  return kind == Kind::usual_rate || kind == Kind::carried || kind == Kind::further_tries;
+}
 
 bool same(Kind kind, const Fact& a, const Fact& b) {
-  if (a.instance != b.instance || a.figures.size() != b.figures.size() || a.times.size() != b.times.size()) return false;
+  if (a.instance != b.instance || a.figures.size() != b.figures.size() || a.times.size() != b.times.size())
+    return false;
   const double noise = measured(kind) ? kRateNoise : 1e-9;
   for (const auto& [name, figure] : a.figures) {
     const auto it = b.figures.find(name);
     if (it == b.figures.end()) return false;
-    if (std::abs(it->second - figure) > noise * std::max({std::abs(figure), std::abs(it->second), 1e-9})) return false;
+    if (std::abs(it->second - figure) > noise * std::max({std::abs(figure), std::abs(it->second), 1e-9}))
+      return false;
   }
   for (const auto& [name, time] : a.times) {
     const auto it = b.times.find(name);
@@ -33,16 +37,18 @@
 }  // namespace
 
 const char* name_of(Kind kind) {
-  constexpr const char* names[] = {
-      "zone_ladder", "backend_ladder", "link_ladder",   "cold_start", "drain",       "carried",    "usual_rate",
-      "sent_table",  "held_table",     "further_tries", "person_weight", "person_out", "person_zone", "hold",
-      "group_seen",  "group_table",    "table_lines",   "table_levels", "fleet"};
+  constexpr const char* names[] = {"zone_ladder", "backend_ladder", "link_ladder",   "cold_start",
+                                   "drain",       "carried",        "usual_rate",    "sent_table",
+                                   "held_table",  "further_tries",  "person_weight", "person_out",
+                                   "person_zone", "hold",           "group_seen",    "group_table",
+                                   "table_lines", "table_levels",   "fleet"};
   static_assert(std::size(names) == kKinds);
   return names[static_cast<std::size_t>(kind)];
 }
 
 void Knowledge::write(Entry entry) {
-  if (const auto was = entries_.find(entry.subject); was != entries_.end()) order_.erase(was->second.sequence);
+  if (const auto was = entries_.find(entry.subject); was != entries_.end())
+    order_.erase(was->second.sequence);
   last_ = std::max(last_, entry.sequence);
   order_.insert_or_assign(entry.sequence, entry.subject);
   Subject key = entry.subject;
@@ -101,7 +107,8 @@
   forget_gone(now, last_);
   if (entries_.size() <= most_) return;
   std::vector<std::pair<double, std::uint64_t>> worth;
-  for (const auto& [subject, e] : entries_) worth.emplace_back(trust(subject.kind, now - e.learned), e.sequence);
+  for (const auto& [subject, e] : entries_)
+    worth.emplace_back(trust(subject.kind, now - e.learned), e.sequence);
   std::sort(worth.begin(), worth.end());
   for (std::size_t k = 0; entries_.size() > most_; ++k) {
     const auto it = order_.find(worth[k].second);
--- a/src/recovery/knowledge.hpp
+++ b/src/recovery/knowledge.hpp
@@ -1,6 +1,6 @@
-// The log of facts: compacted by subject, so that it is its own snapshot. Whoever has read it up to a sequence is
-// told what changed since; whoever is new reads it from 0. Bounded in entries; what is gone is kept for a while, so
-// that all may hear of it.
+// The log of facts: compacted by subject, so that it is its own snapshot. Whoever has read it up to a
+// sequence is told what changed since; whoever is new reads it from 0. Bounded in entries; what is gone is
+// kept for a while, so that all may hear of it.
 #pragma once
 
 #include <vector>
@@ -16,8 +16,8 @@
   Knowledge() = default;
   explicit Knowledge(std::size_t most) : most_{most} {}
 
-  // The one place that works out the difference between what is so now and what the log says. Returns how many
-  // entries it wrote. What differs by no more than measuring does is the same.
+  // The one place that works out the difference between what is so now and what the log says. Returns how
+  // many entries it wrote. What differs by no more than measuring does is the same.
   std::size_t observe(Instant now, const Facts& present);
   // An entry from a file or from another's log; in the order of sequences.
   void put(Entry entry);
--- a/src/runtime_api/codec.cpp
+++ b/src/runtime_api/codec.cpp
@@ -53,7 +53,8 @@
   void row(std::string_view line) { cells_ = split(line, at_); }
   [[nodiscard]] std::string_view text(const char* name) const {
     const auto it = places_.find(name);
-    return it == places_.end() || it->second >= cells_.size() ? std::string_view{} : trimmed(cells_[it->second]);
+    return it == places_.end() || it->second >= cells_.size() ? std::string_view{}
+                                                              : trimmed(cells_[it->second]);
   }
   // Empty cells are 0, as the guide has it; anything else that is no number is a fault.
   std::uint64_t number(const char* name, std::string& fault) const {
@@ -77,13 +78,17 @@
   switch (c.what) {
     case Change::What::add:
       return fmt::format("add server {} {} weight {} enabled", where, c.at.text(), c.number);
-    case Change::What::weight: return fmt::format("set server {} weight {}", where, c.number);
+    case Change::What::weight:
+      return fmt::format("set server {} weight {}", where, c.number);
     case Change::What::state:
       return fmt::format("set server {} state {}", where,
-                         c.state == State::ready ? "ready" : c.state == State::drain ? "drain" : "maint");
+                         c.state == State::ready   ? "ready"
+                         : c.state == State::drain ? "drain"
+                                                   : "maint");
     case Change::What::address:
       return fmt::format("set server {} addr {} port {}", where, c.at.address.text(), c.at.port);
-    case Change::What::remove: return fmt::format("del server {}", where);
+    case Change::What::remove:
+      return fmt::format("del server {}", where);
     case Change::What::value: {
       std::string name = c.worker;
       for (char& letter : name) letter = letter == '-' ? '_' : letter;
@@ -96,10 +101,13 @@
 bool is_done(std::string_view answer) {
   const auto text = trimmed(answer);
   return text.empty() || text == "New server registered." || text == "Server deleted." ||
-         text.find("IP changed from") != std::string_view::npos || text.find("no need to change") != std::string_view::npos;
+         text.find("IP changed from") != std::string_view::npos ||
+         text.find("no need to change") != std::string_view::npos;
 }
 
-bool is_unknown_command(std::string_view answer) { return trimmed(answer).substr(0, 15) == "Unknown command"; }
+bool is_unknown_command(std::string_view answer) {
+  return trimmed(answer).substr(0, 15) == "Unknown command";
+}
 
 std::variant<forwarders::Held, std::string> read_servers_state(std::string_view text) {
   const auto lines = split(text, '\n');
@@ -107,7 +115,9 @@
     return std::string{"is no server state of format 1"};
   if (lines.size() > kRowsMost) return std::string{"has too many lines"};
   Rows rows{lines[1].substr(2), ' '};
-  if (auto fault = rows.missing({"be_name", "srv_name", "srv_addr", "srv_admin_state", "srv_uweight", "srv_port"}); !fault.empty())
+  if (auto fault =
+          rows.missing({"be_name", "srv_name", "srv_addr", "srv_admin_state", "srv_uweight", "srv_port"});
+      !fault.empty())
     return fault;
   forwarders::Held held;
   for (std::size_t k = 2; k < lines.size(); ++k) {
@@ -115,7 +125,8 @@
     rows.row(lines[k]);
     std::string fault;
     forwarders::HeldLine line;
-    line.weight = static_cast<int>(std::min<std::uint64_t>(forwarders::kWeightMost, rows.number("srv_uweight", fault)));
+    line.weight =
+        static_cast<int>(std::min<std::uint64_t>(forwarders::kWeightMost, rows.number("srv_uweight", fault)));
     // The guide's bits: 1, 2 and 4 are kinds of maintenance, 8 and 16 of drain.
     const auto admin = rows.number("srv_admin_state", fault);
     line.state = (admin & 7U) != 0 ? State::maint : (admin & 24U) != 0 ? State::drain : State::ready;
@@ -148,7 +159,8 @@
       forwarders::ServerCount c;
       c.tries = rows.number("stot", fault);
       c.errored = rows.number("econ", fault) + rows.number("eresp", fault) + rows.number("hrsp_5xx", fault);
-      c.mean_latency = Span::seconds(static_cast<double>(std::min<std::uint64_t>(rows.number("ttime", fault), 3'600'000)) / 1e3);
+      c.mean_latency = Span::seconds(
+          static_cast<double>(std::min<std::uint64_t>(rows.number("ttime", fault), 3'600'000)) / 1e3);
       reading.servers[{operation, worker}] = c;
     }
     if (!fault.empty()) return fmt::format("line {}: {}", k + 1, fault);
--- a/src/runtime_api/codec.hpp
+++ b/src/runtime_api/codec.hpp
@@ -1,5 +1,6 @@
-// The command language of HAProxy's runtime socket, as its management guide describes it (section 9.3): commands
-// from changes, and what the answers say. Server lines are `OPERATION/WORKER`: one backend section an operation.
+// The command language of HAProxy's runtime socket, as its management guide describes it (section 9.3):
+// commands from changes, and what the answers say. Server lines are `OPERATION/WORKER`: one backend section
+// an operation.
 #pragma once
 
 #include <optional>
--- a/src/runtime_api/command_server.cpp
+++ b/src/runtime_api/command_server.cpp
@@ -9,8 +9,8 @@
   bool prompt = false;
   std::string waiting, payload;  // a command that takes a payload, and what came of it
   bool in_payload = false;
-  std::string kept;              // what came while held
-  std::size_t left = 0;          // bytes till it freezes, if `then` is set
+  std::string kept;      // what came while held
+  std::size_t left = 0;  // bytes till it freezes, if `then` is set
   std::function<void()> then;
   bool frozen = false;
 };
@@ -24,7 +24,8 @@
 }
 
 void CommandServer::listen(const Endpoint& at) {
-  tcp_ = std::make_unique<net::Listener>(loop_, at, [this](net::Fd fd, const Endpoint&) { accept(std::move(fd)); });
+  tcp_ = std::make_unique<net::Listener>(loop_, at,
+                                         [this](net::Fd fd, const Endpoint&) { accept(std::move(fd)); });
 }
 
 void CommandServer::listen(const std::string& path, unsigned mode) {
--- a/src/runtime_api/command_server.hpp
+++ b/src/runtime_api/command_server.hpp
@@ -1,6 +1,6 @@
 // The socket's manners, for whoever answers commands: one-shot (a line, its answers, the end) and interactive
-// (`prompt`: an answer ends with a blank line and "> "); several commands a line joined by `;`; a command whose
-// last word is `<<` takes the lines up to the next empty one as its payload.
+// (`prompt`: an answer ends with a blank line and "> "); several commands a line joined by `;`; a command
+// whose last word is `<<` takes the lines up to the next empty one as its payload.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,8 @@
 class CommandServer {
  public:
   // The answer's text, without the blank line at its end. `peer`: a number for each connection.
-  using Handler = std::function<std::string(std::uint64_t peer, const std::string& command, const std::string& payload)>;
+  using Handler =
+      std::function<std::string(std::uint64_t peer, const std::string& command, const std::string& payload)>;
   struct Limits {
     std::size_t peers_most = 64, line_most = 16384, payload_most = 65536;
     Span idle = Span::seconds(600);
@@ -27,15 +28,15 @@
   CommandServer(const CommandServer&) = delete;
   CommandServer& operator=(const CommandServer&) = delete;
 
-  void listen(const Endpoint& at);                        // throws std::system_error
-  void listen(const std::string& path, unsigned mode);    // throws std::system_error
+  void listen(const Endpoint& at);                      // throws std::system_error
+  void listen(const std::string& path, unsigned mode);  // throws std::system_error
   void stop_listening();
   // Breaks all streams; for stand-ins.
   void drop_all();
   // While on, nothing is read from any peer's commands: for stand-ins that are slow.
   void hold(bool on);
-  // For stand-ins: of what a peer sends from now on, that many bytes are taken. What follows stays on the way, and
-  // `then` is told, once; thaw() lets it come, unless the peer has gone for good with drop_frozen().
+  // For stand-ins: of what a peer sends from now on, that many bytes are taken. What follows stays on the
+  // way, and `then` is told, once; thaw() lets it come, unless the peer has gone for good with drop_frozen().
   void freeze_after(std::uint64_t peer, std::size_t bytes, std::function<void()> then);
   void thaw();
   void drop_frozen();
--- a/src/runtime_api/driver.cpp
+++ b/src/runtime_api/driver.cpp
@@ -20,7 +20,8 @@
 
 class Driver::Stream {
  public:
-  Stream(Driver& driver, DriverSettings::Target target) : d_{driver}, target_{std::move(target)}, led_{!driver.s_.shared} {
+  Stream(Driver& driver, DriverSettings::Target target)
+      : d_{driver}, target_{std::move(target)}, led_{!driver.s_.shared} {
     if (led_) dial();
   }
   ~Stream() {
@@ -131,14 +132,19 @@
   void answered(const Pending& asked, std::string_view text) {
     switch (asked.kind) {
       case Kind::prompt:
-      case Kind::info: return;
+      case Kind::info:
+        return;
       case Kind::term:
-        if (const auto term = read_variable(text); term && d_.hooks_.term_seen) d_.hooks_.term_seen(target_.id, *term);
+        if (const auto term = read_variable(text); term && d_.hooks_.term_seen)
+          d_.hooks_.term_seen(target_.id, *term);
         return;
       case Kind::state:
-      case Kind::read_back: return state(asked.kind, text);
-      case Kind::stat: return stat(text);
-      case Kind::change: return changed(asked.way->changes[asked.place], text);
+      case Kind::read_back:
+        return state(asked.kind, text);
+      case Kind::stat:
+        return stat(text);
+      case Kind::change:
+        return changed(asked.way->changes[asked.place], text);
     }
   }
 
@@ -148,11 +154,13 @@
     Held fresh = std::get<Held>(std::move(read));
     // Only what we lead: a forwarder may have backends of its own.
     std::erase_if(fresh.lines, [this](const auto& row) {
-      return std::find(d_.s_.operations.begin(), d_.s_.operations.end(), row.first.first) == d_.s_.operations.end();
+      return std::find(d_.s_.operations.begin(), d_.s_.operations.end(), row.first.first) ==
+             d_.s_.operations.end();
     });
     if (kind == Kind::read_back && learned_ && !(fresh.lines == held_.lines)) {
       ++repairs_;
-      d_.hooks_.log(true, "forwarder_drifted", {{"forwarder", target_.name}, {"cause", difference(held_, fresh)}});
+      d_.hooks_.log(true, "forwarder_drifted",
+                    {{"forwarder", target_.name}, {"cause", difference(held_, fresh)}});
     }
     held_.lines = std::move(fresh.lines);
     if (!learned_) {
@@ -160,8 +168,10 @@
       held_.values.clear();  // a forwarder that restarted has forgotten them, and they can't be read in bulk
       std::map<std::string, double> holds;
       for (const auto& [key, line] : held_.lines)
-        if (line.picked() > 0) holds[key.second] = std::max(holds[key.second], static_cast<double>(line.picked()));
-      d_.hooks_.report(coordinator::ForwarderJoined{target_.id, std::exchange(taken_over_, false), std::move(holds)});
+        if (line.picked() > 0)
+          holds[key.second] = std::max(holds[key.second], static_cast<double>(line.picked()));
+      d_.hooks_.report(
+          coordinator::ForwarderJoined{target_.id, std::exchange(taken_over_, false), std::move(holds)});
       ask_stat();
       read_back();
     }
@@ -173,12 +183,13 @@
       const auto it = found.lines.find(key);
       if (it == found.lines.end()) return fmt::format("{}/{} is not there", key.first, key.second);
       if (!(it->second == line))
-        return fmt::format("{}/{} has weight {} state {}, was set to weight {} state {}", key.first, key.second,
-                           it->second.weight, static_cast<int>(it->second.state), line.weight,
+        return fmt::format("{}/{} has weight {} state {}, was set to weight {} state {}", key.first,
+                           key.second, it->second.weight, static_cast<int>(it->second.state), line.weight,
                            static_cast<int>(line.state));
     }
     for (const auto& [key, line] : found.lines)
-      if (!thought.lines.contains(key)) return fmt::format("{}/{} was not added by us", key.first, key.second);
+      if (!thought.lines.contains(key))
+        return fmt::format("{}/{} was not added by us", key.first, key.second);
     return "none";
   }
 
@@ -202,7 +213,8 @@
     }
     const auto told = counters_.read(std::get<forwarders::Reading>(read));
     if (told.impossible)
-      return d_.hooks_.log(true, "report_doubted", {{"forwarder", target_.name}, {"why", "more errored than tried"}});
+      return d_.hooks_.log(true, "report_doubted",
+                           {{"forwarder", target_.name}, {"why", "more errored than tried"}});
     if (told.restarted) d_.hooks_.log(true, "forwarder_restarted", {{"forwarder", target_.name}});
     coordinator::ForwarderMet met{target_.id, {}, {}, 0};
     for (std::size_t k = 0; k < d_.s_.operations.size(); ++k) {
@@ -210,7 +222,8 @@
       for (const auto& [key, c] : told.since.servers) {
         if (key.first != d_.s_.operations[k] || c.tries + c.errored == 0) continue;
         if (const auto backend = d_.hooks_.backend_of(key.second))
-          met.rows.push_back({*backend, op, static_cast<int>(c.tries), static_cast<int>(c.errored), c.mean_latency});
+          met.rows.push_back(
+              {*backend, op, static_cast<int>(c.tries), static_cast<int>(c.errored), c.mean_latency});
       }
       if (const auto it = told.since.arrived.find(d_.s_.operations[k]); it != told.since.arrived.end())
         met.arrived.emplace_back(op, static_cast<int>(it->second));
@@ -256,7 +269,8 @@
         if (std::exchange(with_values_, false))
           d_.hooks_.log(true, "forwarder_cannot_express", {{"forwarder", target_.name}, {"said", said}});
       } else {
-        d_.hooks_.log(true, "command_refused", {{"forwarder", target_.name}, {"command", command(change)}, {"said", said}});
+        d_.hooks_.log(true, "command_refused",
+                      {{"forwarder", target_.name}, {"command", command(change)}, {"said", said}});
         // What it holds is not what was thought: learn it anew before the next plan.
         d_.loop_.cancel(again_);
         again_ = d_.loop_.after(kAgain, [this] {
@@ -295,8 +309,10 @@
                                                const std::shared_ptr<const coordinator::WantedTable>& wanted,
                                                bool with_values) {
   for (const auto& known : {there_, last_})
-    if (known && known->wanted == wanted && known->with_values == with_values && known->from == from) return known;
-  auto fresh = std::make_shared<Way>(Way{wanted, from, with_values, forwarders::plan(from, *wanted, with_values), {}});
+    if (known && known->wanted == wanted && known->with_values == with_values && known->from == from)
+      return known;
+  auto fresh =
+      std::make_shared<Way>(Way{wanted, from, with_values, forwarders::plan(from, *wanted, with_values), {}});
   for (const auto& change : fresh->changes) fresh->text += command(change) + "\n";
   (fresh->changes.empty() ? there_ : last_) = fresh;
   return fresh;
--- a/src/runtime_api/driver.hpp
+++ b/src/runtime_api/driver.hpp
@@ -1,6 +1,6 @@
-// Drives forwarders by their runtime sockets: a stream each. A new stream learns what its forwarder holds, then
-// sends the difference; a line is in force when the forwarder's answer says so; a read-back finds what drifted.
-// What to change, and in which order, is forwarders::plan's to say.
+// Drives forwarders by their runtime sockets: a stream each. A new stream learns what its forwarder holds,
+// then sends the difference; a line is in force when the forwarder's answer says so; a read-back finds what
+// drifted. What to change, and in which order, is forwarders::plan's to say.
 #pragma once
 
 #include <deque>
@@ -33,7 +33,9 @@
 struct DriverHooks {
   std::function<void(coordinator::Input)> report;
   std::function<std::optional<BackendId>(const std::string&)> backend_of;
-  std::function<void(bool warning, const std::string& event, std::vector<std::pair<std::string, std::string>>)> log;
+  std::function<void(bool warning, const std::string& event,
+                     std::vector<std::pair<std::string, std::string>>)>
+      log;
   // Asked before each change, since a lease ends by the clock; absent: always.
   std::function<bool(ProxyId)> may_order;
   // A version came into force at a forwarder, so long after it was handed over.
@@ -49,8 +51,8 @@
   Driver(const Driver&) = delete;
   Driver& operator=(const Driver&) = delete;
 
-  // In a shared fleet: with a term the forwarder is led, under it; without one its stream is given up. Alone, all
-  // are led, without terms.
+  // In a shared fleet: with a term the forwarder is led, under it; without one its stream is given up. Alone,
+  // all are led, without terms.
   void lead(ProxyId forwarder, std::optional<std::uint64_t> term);
   void deliver(ProxyId forwarder, std::shared_ptr<const coordinator::WantedTable> table);
 
--- a/src/runtime_api/operators.cpp
+++ b/src/runtime_api/operators.cpp
@@ -23,7 +23,8 @@
 };
 constexpr Known kCommands[] = {
     {"help", "this list"},
-    {"show table [VERSION]", "lines and levels of the tables as ordered; without a version, the newest of each"},
+    {"show table [VERSION]",
+     "lines and levels of the tables as ordered; without a version, the newest of each"},
     {"show zones", "listed and ordered weight by zone"},
     {"show backend [NAME]", "what is known of a backend, and who says so"},
     {"show ladder", "backends and zones below their full share"},
@@ -34,7 +35,8 @@
     {"show cluster", "members, their standing, and who leads which forwarder here"},
     {"hand-over", "gives what this one leads to the others, at once"},
     {"set weight NAME W [for SPAN]", "a listed weight, for 10m if not said"},
-    {"drain zone ZONE [anyway]", "steps the zone's share down to nothing; anyway: though the others lack room"},
+    {"drain zone ZONE [anyway]",
+     "steps the zone's share down to nothing; anyway: though the others lack room"},
     {"undrain zone ZONE", "and back in trial steps"},
     {"disable backend NAME", "no new work for a backend"},
     {"enable backend NAME", "undoes that"},
@@ -61,12 +63,14 @@
   std::vector<std::size_t> width;
   for (const auto& [key, value] : rows[0]) width.push_back(key.size());
   for (const auto& row : rows)
-    for (std::size_t k = 0; k < row.size() && k < width.size(); ++k) width[k] = std::max(width[k], row[k].second.size());
+    for (std::size_t k = 0; k < row.size() && k < width.size(); ++k)
+      width[k] = std::max(width[k], row[k].second.size());
   std::string out = "#";
   for (std::size_t k = 0; k < width.size(); ++k) out += fmt::format(" {:<{}}", rows[0][k].first, width[k]);
   for (const auto& row : rows) {
     out += "\n ";
-    for (std::size_t k = 0; k < row.size() && k < width.size(); ++k) out += fmt::format(" {:<{}}", row[k].second, width[k]);
+    for (std::size_t k = 0; k < row.size() && k < width.size(); ++k)
+      out += fmt::format(" {:<{}}", row[k].second, width[k]);
   }
   return out + "\n";
 }
@@ -86,7 +90,8 @@
                      std::function<std::vector<Driver::Status>()> forwarders, std::string token)
     : core_{core}, order_{std::move(order)}, forwarders_{std::move(forwarders)}, token_{std::move(token)} {}
 
-void Operators::remember(const std::string& event, const std::vector<std::pair<std::string, std::string>>& fields) {
+void Operators::remember(const std::string& event,
+                         const std::vector<std::pair<std::string, std::string>>& fields) {
   std::string said;
   for (const auto& [key, value] : fields) said += (said.empty() ? "" : " ") + key + "=" + value;
   errors_.push_back({{"event", event}, {"what", said}});
@@ -103,7 +108,8 @@
 std::string Operators::handle(std::uint64_t peer, bool trusted, const std::string& command) {
   auto words = split_words(command);
   if (words.empty()) return "";
-  // Over TCP nothing is told before the token is right; the comparison takes the same time wherever it differs.
+  // Over TCP nothing is told before the token is right; the comparison takes the same time wherever it
+  // differs.
   if (!trusted && !known_.contains(peer)) {
     const bool right = words.size() == 2 && words[0] == "token" && words[1].size() == token_.size() &&
                        sodium_memcmp(words[1].data(), token_.data(), token_.size()) == 0;
@@ -132,7 +138,8 @@
     std::map<BackendId, std::string> names;
     for (const auto& b : core_.backends())
       if (const auto id = core_.id_of(b.name)) names[*id] = b.name;
-    std::vector<std::pair<TableId, coordinator::TablePtr>> tables{core_.tables().begin(), core_.tables().end()};
+    std::vector<std::pair<TableId, coordinator::TablePtr>> tables{core_.tables().begin(),
+                                                                  core_.tables().end()};
     if (!which.empty()) {
       tables.clear();
       const auto old = core_.table_version(std::strtoull(which.c_str(), nullptr, 10));
@@ -141,47 +148,69 @@
     }
     for (const auto& [id, table] : tables) {
       for (const auto& [backend, weight] : table->lines)
-        rows.push_back({{"table", std::to_string(id.value)}, {"version", std::to_string(table->version)},
-                        {"backend", names[backend]}, {"weight", number(weight)}});
+        rows.push_back({{"table", std::to_string(id.value)},
+                        {"version", std::to_string(table->version)},
+                        {"backend", names[backend]},
+                        {"weight", number(weight)}});
       for (std::size_t k = 0; k < table->levels.size(); ++k)
-        rows.push_back({{"table", std::to_string(id.value)}, {"version", std::to_string(table->version)},
-                        {"backend", "level " + core_.settings().operations[k].name}, {"weight", number(table->levels[k].level)}});
+        rows.push_back({{"table", std::to_string(id.value)},
+                        {"version", std::to_string(table->version)},
+                        {"backend", "level " + core_.settings().operations[k].name},
+                        {"weight", number(table->levels[k].level)}});
     }
   } else if (what == "zones") {
     std::map<std::string, std::pair<double, double>> zones;
     double all = 0;
-    for (const auto& b : core_.backends()) zones[b.zone].first += b.listed, zones[b.zone].second += b.weight, all += b.weight;
+    for (const auto& b : core_.backends())
+      zones[b.zone].first += b.listed, zones[b.zone].second += b.weight, all += b.weight;
     for (const auto& [zone, w] : zones)
-      rows.push_back({{"zone", zone}, {"listed", number(w.first)}, {"ordered", number(w.second)},
+      rows.push_back({{"zone", zone},
+                      {"listed", number(w.first)},
+                      {"ordered", number(w.second)},
                       {"part", number(all > 0 ? w.second / all : 0)}});
   } else if (what == "backend") {
     for (const auto& b : core_.backends())
       if (which.empty() || which == b.name)
-        rows.push_back({{"backend", b.name}, {"zone", b.zone}, {"address", b.at.text()}, {"state", b.state},
-                        {"listed", number(b.listed)}, {"ordered", number(b.weight)}, {"cold", b.cold ? "yes" : "no"},
-                        {"refuses", b.absent ? "yes" : "no"}, {"person", b.by_person ? "yes" : "no"}, {"doubt", b.doubt}});
+        rows.push_back({{"backend", b.name},
+                        {"zone", b.zone},
+                        {"address", b.at.text()},
+                        {"state", b.state},
+                        {"listed", number(b.listed)},
+                        {"ordered", number(b.weight)},
+                        {"cold", b.cold ? "yes" : "no"},
+                        {"refuses", b.absent ? "yes" : "no"},
+                        {"person", b.by_person ? "yes" : "no"},
+                        {"doubt", b.doubt}});
     if (rows.empty() && !which.empty()) return fmt::format("No such backend '{}'.\n", which);
   } else if (what == "ladder") {
     for (const auto& b : core_.backends())
       if (b.state == "ready" && b.weight < b.listed * (1 - 1e-9))
-        rows.push_back({{"backend", b.name}, {"zone", b.zone}, {"share", number(b.listed > 0 ? b.weight / b.listed : 0)},
+        rows.push_back({{"backend", b.name},
+                        {"zone", b.zone},
+                        {"share", number(b.listed > 0 ? b.weight / b.listed : 0)},
                         {"cold", b.cold ? "yes" : "no"}});
   } else if (what == "proxies") {
     std::map<std::string, Driver::Status> up;
     for (const auto& s : forwarders_()) up[s.name] = s;
     for (const auto& p : core_.proxies()) {
       const auto it = up.find(p.name);
-      rows.push_back({{"proxy", p.name}, {"kind", coordinator::is_forwarder(p.id) ? "forwarder" : "group"},
-                      {"table", p.table ? std::to_string(p.table->value) : "none"}, {"ordered", std::to_string(p.ordered)},
-                      {"holds", std::to_string(p.holds)}, {"rate", number(p.rate)},
+      rows.push_back({{"proxy", p.name},
+                      {"kind", coordinator::is_forwarder(p.id) ? "forwarder" : "group"},
+                      {"table", p.table ? std::to_string(p.table->value) : "none"},
+                      {"ordered", std::to_string(p.ordered)},
+                      {"holds", std::to_string(p.holds)},
+                      {"rate", number(p.rate)},
                       {"repairs", it == up.end() ? "-" : std::to_string(it->second.repairs)},
                       {"refusals", it == up.end() ? "-" : std::to_string(it->second.refusals)}});
     }
   } else if (what == "channel") {
     const auto c = core_.counters();
     const auto& s = core_.settings();
-    rows.push_back({{"waiting", number(core_.waiting())}, {"most", number(c.most_waiting)}, {"backlog", number(s.backlog)},
-                    {"messages", std::to_string(c.messages)}, {"held_back", std::to_string(c.held_back)},
+    rows.push_back({{"waiting", number(core_.waiting())},
+                    {"most", number(c.most_waiting)},
+                    {"backlog", number(s.backlog)},
+                    {"messages", std::to_string(c.messages)},
+                    {"held_back", std::to_string(c.held_back)},
                     {"hold", core_.held() ? "yes" : "no"}});
   } else if (what == "cluster") {
     if (!cluster_) return "No cluster: this coordinator stands alone.\n";
@@ -213,7 +242,8 @@
     if (*end != 0 || !std::isfinite(o.weight)) return fmt::format("'{}' is no weight.\n", words[3]);
     if (words.size() == 6) {
       const auto span = span_of(words[5]);
-      if (!span) return fmt::format("'{}' is no span of time; say 30s, 10m or 2h, a day at most.\n", words[5]);
+      if (!span)
+        return fmt::format("'{}' is no span of time; say 30s, 10m or 2h, a day at most.\n", words[5]);
       o.lifetime = *span;
     }
   } else if (is(3, {"drain", "zone"}) || (is(4, {"drain", "zone"}) && words[3] == "anyway")) {
--- a/src/runtime_api/operators.hpp
+++ b/src/runtime_api/operators.hpp
@@ -1,5 +1,5 @@
-// The commands that a person at a terminal has. Shows what is, and hands orders to the core; what may be ordered
-// is the core's to say.
+// The commands that a person at a terminal has. Shows what is, and hands orders to the core; what may be
+// ordered is the core's to say.
 #pragma once
 
 #include <deque>
--- a/src/script/day.cpp
+++ b/src/script/day.cpp
@@ -23,11 +23,14 @@
 
 Address loopback(unsigned a, unsigned b, unsigned c) {
   Address address;
-  address.bytes = {127, static_cast<std::uint8_t>(a), static_cast<std::uint8_t>(b), static_cast<std::uint8_t>(c)};
+  address.bytes = {127, static_cast<std::uint8_t>(a), static_cast<std::uint8_t>(b),
+                   static_cast<std::uint8_t>(c)};
   return address;
 }
 
-std::string zone_in_day(config::Section& in, const Day& day) { return day.zones[in.word("zone", day.zones, std::nullopt)]; }
+std::string zone_in_day(config::Section& in, const Day& day) {
+  return day.zones[in.word("zone", day.zones, std::nullopt)];
+}
 
 void read_fleet(config::Section& root, Day& day) {
   const auto zone_in = [&](config::Section& in) { return zone_in_day(in, day); };
@@ -52,7 +55,8 @@
     w.count = static_cast<int>(in.number("count", std::nullopt, {1, 2500, true}));
     w.cores = in.number("cores", 2, {1, 256, true}), w.speed = in.number("speed", 1, {0.01, 100});
     w.slots = static_cast<int>(in.number("slots", 0, {0, 100000, true}));
-    w.connect_cost = some(in, "connect_cost", 0), w.loss = in.number("loss", 0, {0, 10}), w.cancels = in.flag("cancels", true);
+    w.connect_cost = some(in, "connect_cost", 0), w.loss = in.number("loss", 0, {0, 10}),
+    w.cancels = in.flag("cancels", true);
     w.queue_most = static_cast<int>(in.number("queue_most", 64, {0, 100000, true}));
     in.done();
     day.workers.push_back(w);
@@ -62,7 +66,8 @@
     DayClients c;
     c.zone = zone_in(in);
     c.count = static_cast<int>(in.number("count", std::nullopt, {1, 250, true}));
-    c.rate = in.number("rate", 1, {0, 1000}, "invocations/s"), c.by_address = in.number("by_address", 0, {0, 1});
+    c.rate = in.number("rate", 1, {0, 1000}, "invocations/s"),
+    c.by_address = in.number("by_address", 0, {0, 1});
     c.disobedient = static_cast<int>(in.number("disobedient", 0, {0, 250, true}));
     in.done();
     day.clients.push_back(c);
@@ -93,10 +98,25 @@
     in.done();
     day.phases.push_back(p);
   }
-  const std::vector<std::string> kinds{"crash", "hang", "errors", "slow", "silent", "refuse", "drain",
-                                       "forwarder_restart", "forwarder_refuse", "forwarder_slow", "forwarder_lie",
-                                       "forwarder_half", "streams", "cut_link", "slow_link", "stale_list",
-                                       "late_reports", "ageing", "false_reports"};
+  const std::vector<std::string> kinds{"crash",
+                                       "hang",
+                                       "errors",
+                                       "slow",
+                                       "silent",
+                                       "refuse",
+                                       "drain",
+                                       "forwarder_restart",
+                                       "forwarder_refuse",
+                                       "forwarder_slow",
+                                       "forwarder_lie",
+                                       "forwarder_half",
+                                       "streams",
+                                       "cut_link",
+                                       "slow_link",
+                                       "stale_list",
+                                       "late_reports",
+                                       "ageing",
+                                       "false_reports"};
   for (const auto* b : root.blocks("trouble", 1)) {
     config::Section in = section_of(*b, root);
     Trouble t;
@@ -109,7 +129,8 @@
     t.count = static_cast<int>(in.number("count", 0, {0, 2500, true}));
     if (std::string to = in.text("to", ""); !to.empty()) {
       if (std::find(day.zones.begin(), day.zones.end(), to) == day.zones.end())
-        in.fault(in.place("to"), fmt::format("no zone is called \"{}\"; known here: {}", to, fmt::join(day.zones, ", ")));
+        in.fault(in.place("to"),
+                 fmt::format("no zone is called \"{}\"; known here: {}", to, fmt::join(day.zones, ", ")));
       t.to = std::move(to);
     }
     t.one_way = in.flag("one_way", false);
@@ -127,10 +148,12 @@
     if (std::find(names.begin(), names.end(), b->labels[0].first) == names.end())
       in.fault(b->labels[0].second, fmt::format("no coordinator is called \"{}\"; known here: {}",
                                                 b->labels[0].first, fmt::join(names, ", ")));
-    Kill kill{b->labels[0].first, some(in, "at", std::nullopt), some(in, "lasts", std::nullopt), in.flag("pause", false), in.flag("planned", false)};
+    Kill kill{b->labels[0].first, some(in, "at", std::nullopt), some(in, "lasts", std::nullopt),
+              in.flag("pause", false), in.flag("planned", false)};
     const auto times = static_cast<int>(in.number("times", 1, {1, 1000, true}));
     const Span every = some(in, "every", 0);
-    if (times > 1 && every <= kill.lasts) in.fault(in.place("times"), "several times need an 'every' above 'lasts'");
+    if (times > 1 && every <= kill.lasts)
+      in.fault(in.place("times"), "several times need an 'every' above 'lasts'");
     for (int k = 0; k < times; ++k) day.kills.push_back(kill), kill.at = kill.at + every;
     in.done();
   }
@@ -149,7 +172,8 @@
   }
   config::Section cuts = root.only("cuts");
   day.cuts.count = static_cast<int>(cuts.number("count", 0, {0, 1000, true}));
-  day.cuts.first = some(cuts, "first", 2), day.cuts.every = some(cuts, "every", 1), day.cuts.lasts = some(cuts, "lasts", 0.4);
+  day.cuts.first = some(cuts, "first", 2), day.cuts.every = some(cuts, "every", 1),
+  day.cuts.lasts = some(cuts, "lasts", 0.4);
   day.cuts.bytes_most = static_cast<int>(cuts.number("bytes_most", 500, {1, 1e6, true}, "bytes"));
   day.cuts.pause = cuts.flag("pause", false);
   if (day.cuts.count > 0 && (day.forwarders.empty() || !day.shared || day.cuts.every <= day.cuts.lasts))
@@ -188,7 +212,8 @@
   config::Section rules = root.only("rules");
   day.drain_grace = some(rules, "drain_grace", 5), day.unserved = some(rules, "unserved", 3);
   day.cold_for = some(rules, "cold_for", 10), day.tip_after = some(rules, "tip_after", 2);
-  day.cold_from = rules.number("cold_from", 0.2, {0.01, 1}), day.tip_multiple = rules.number("tip_multiple", 3, {1, 100});
+  day.cold_from = rules.number("cold_from", 0.2, {0.01, 1}),
+  day.tip_multiple = rules.number("tip_multiple", 3, {1, 100});
   day.backlog = rules.number("backlog", 2000, {1, 1e9}, "lines");
   day.lines_per_second = rules.number("lines_per_second", 2000, {1, 1e9}, "lines/s");
   day.messages_most = static_cast<int>(rules.number("messages_most", 30, {0, 1e6, true}));
@@ -216,13 +241,15 @@
 
 Endpoint Places::worker(std::size_t zone, std::size_t number) const {
   const auto n = static_cast<unsigned>(number - 1);
-  return {loopback(octet, static_cast<unsigned>(zone + 1), 1 + n % kAddresses), static_cast<std::uint16_t>(9000 + n / kAddresses)};
+  return {loopback(octet, static_cast<unsigned>(zone + 1), 1 + n % kAddresses),
+          static_cast<std::uint16_t>(9000 + n / kAddresses)};
 }
 Address Places::client(std::size_t zone, std::size_t number) const {
   return loopback(octet + 1 + static_cast<unsigned>(zone), 0, static_cast<unsigned>(number));
 }
 Address Places::forwarder(std::size_t zone, std::size_t led_by, std::size_t number) const {
-  return loopback(octet + 1 + static_cast<unsigned>(zone), static_cast<unsigned>(led_by), static_cast<unsigned>(number));
+  return loopback(octet + 1 + static_cast<unsigned>(zone), static_cast<unsigned>(led_by),
+                  static_cast<unsigned>(number));
 }
 Endpoint Places::coordinator(std::size_t number) const {
   return {loopback(octet, 0, static_cast<unsigned>(number)), 5300};
@@ -239,10 +266,12 @@
   std::vector<ForwarderPlace> all;
   std::vector<std::size_t> numbers(day.zones.size(), 0);
   for (const auto& f : day.forwarders) {
-    const auto zone = static_cast<std::size_t>(std::find(day.zones.begin(), day.zones.end(), f.zone) - day.zones.begin());
+    const auto zone =
+        static_cast<std::size_t>(std::find(day.zones.begin(), day.zones.end(), f.zone) - day.zones.begin());
     for (int k = 0; k < f.count; ++k) {
       const std::size_t n = ++numbers[zone], led_by = 1 + all.size() % day.coordinators.size();
-      all.push_back({f.zone + "-front-" + std::to_string(n), f.zone, led_by, places.forwarder(zone, led_by, n), f});
+      all.push_back(
+          {f.zone + "-front-" + std::to_string(n), f.zone, led_by, places.forwarder(zone, led_by, n), f});
     }
   }
   return all;
@@ -252,7 +281,8 @@
   std::vector<RosterLine> lines;
   std::vector<std::size_t> numbers(day.zones.size(), 0);
   for (const auto& w : day.workers) {
-    const auto zone = static_cast<std::size_t>(std::find(day.zones.begin(), day.zones.end(), w.zone) - day.zones.begin());
+    const auto zone =
+        static_cast<std::size_t>(std::find(day.zones.begin(), day.zones.end(), w.zone) - day.zones.begin());
     for (int k = 0; k < w.count; ++k) {
       const std::size_t n = ++numbers[zone];
       lines.push_back({worker_name(day, zone, n), w.zone, places.worker(zone, n), w.cores * w.speed, false});
@@ -264,57 +294,76 @@
 std::string roster_text(const std::vector<RosterLine>& lines) {
   std::string text;
   for (const auto& l : lines)
-    text += fmt::format("backend \"{}\" {{\n  zone = \"{}\"\n  address = \"{}\"\n  weight = {}\n  state = \"{}\"\n}}\n",
-                        l.name, l.zone, l.at.text(), l.weight, l.draining ? "draining" : "ready");
+    text += fmt::format(
+        "backend \"{}\" {{\n  zone = \"{}\"\n  address = \"{}\"\n  weight = {}\n  state = \"{}\"\n}}\n",
+        l.name, l.zone, l.at.text(), l.weight, l.draining ? "draining" : "ready");
   return text;
 }
 
-std::string coordinator_settings(const Day& day, const Places& places, std::size_t number, const std::string& folder) {
+std::string coordinator_settings(const Day& day, const Places& places, std::size_t number,
+                                 const std::string& folder) {
   const auto s = [](Span span) { return fmt::format("{}ms", span.micros() / 1000); };
   std::string text = fmt::format(
-      "coordinator {{\n  name = \"pwani-{}\"\n  zone = \"{}\"\n  coordinators = {}\n  seed = {}\n  levels = \"{}\"\n  spill = {}\n}}\n",
+      "coordinator {{\n  name = \"pwani-{}\"\n  zone = \"{}\"\n  coordinators = {}\n  seed = {}\n  levels = "
+      "\"{}\"\n  spill = {}\n}}\n",
       number, day.coordinators[number - 1], day.coordinators.size(), day.seed * 100 + number,
       day.levels ? "share" : "off", day.spill);
   for (const auto& zone : day.zones) {
     const auto near = day.near.find(zone);
     text += near == day.near.end() ? fmt::format("zone \"{}\" {{}}\n", zone)
-                                   : fmt::format("zone \"{}\" {{\n  near = [\"{}\"]\n}}\n", zone, fmt::join(near->second, "\", \""));
+                                   : fmt::format("zone \"{}\" {{\n  near = [\"{}\"]\n}}\n", zone,
+                                                 fmt::join(near->second, "\", \""));
   }
   for (const auto& op : day.operations)
-    text += fmt::format("operation \"{}\" {{\n  effect = \"{}\"\n  latency_objective = \"{}\"\n"
-                        "  integration_timeout = \"{}\"\n  billed_value = {}\n}}\n",
-                        op.name, op.effect, s(op.latency_objective), s(op.integration_timeout), op.billed_value);
-  text += fmt::format("rules {{\n  unserved = \"{}\"\n  drain_grace = \"{}\"\n  cold_from = {}\n  cold_for = \"{}\"\n"
-                      "  tip_multiple = {}\n}}\n",
-                      s(day.unserved), s(day.drain_grace), day.unsafe.no_ramp ? 1 : day.cold_from, s(day.cold_for), day.tip_multiple);
-  text += fmt::format("channel {{\n  backlog = {}\n  lines_per_second = {}\n  messages_most = {}\n"
-                      "  messages_window = \"{}\"\n}}\n",
-                      day.backlog, day.lines_per_second, day.messages_most, s(day.messages_window));
-  text += fmt::format("dns {{\n  origin = \"{}\"\n  listen = \"{}\"\n}}\n", day.origin, places.coordinator(number).text());
+    text += fmt::format(
+        "operation \"{}\" {{\n  effect = \"{}\"\n  latency_objective = \"{}\"\n"
+        "  integration_timeout = \"{}\"\n  billed_value = {}\n}}\n",
+        op.name, op.effect, s(op.latency_objective), s(op.integration_timeout), op.billed_value);
+  text += fmt::format(
+      "rules {{\n  unserved = \"{}\"\n  drain_grace = \"{}\"\n  cold_from = {}\n  cold_for = \"{}\"\n"
+      "  tip_multiple = {}\n}}\n",
+      s(day.unserved), s(day.drain_grace), day.unsafe.no_ramp ? 1 : day.cold_from, s(day.cold_for),
+      day.tip_multiple);
+  text += fmt::format(
+      "channel {{\n  backlog = {}\n  lines_per_second = {}\n  messages_most = {}\n"
+      "  messages_window = \"{}\"\n}}\n",
+      day.backlog, day.lines_per_second, day.messages_most, s(day.messages_window));
+  text += fmt::format("dns {{\n  origin = \"{}\"\n  listen = \"{}\"\n}}\n", day.origin,
+                      places.coordinator(number).text());
   for (std::size_t z = 0; z < day.zones.size(); ++z) {
     double rate = 0;
     for (const auto& c : day.clients)
       if (c.zone == day.zones[z]) rate += c.rate * c.count;
-    text += fmt::format("group \"{}-clinics\" {{\n  zone = \"{}\"\n  sources = [\"{}\"]\n  usual_rate = {}\n}}\n",
-                        day.zones[z], day.zones[z], places.clients_of(z).text(), rate);
+    text +=
+        fmt::format("group \"{}-clinics\" {{\n  zone = \"{}\"\n  sources = [\"{}\"]\n  usual_rate = {}\n}}\n",
+                    day.zones[z], day.zones[z], places.clients_of(z).text(), rate);
   }
   for (const auto& f : forwarders_of(day, places))
     if (f.led_by == number || day.shared)
-      text += fmt::format("forwarder \"{}\" {{\n  zone = \"{}\"\n  runtime = \"{}:9999\"\n  sources = [\"{}\"]\n  usual_rate = {}\n}}\n",
-                          f.name, f.zone, f.at.text(), Prefix{masked(f.at, 24), 24}.text(),
-                          std::max(1.0, f.kind.rate * f.kind.clients / f.kind.count));
-  text += fmt::format("runtime {{\n  fleet_rate = {}\n}}\noperators {{\n  socket = \"{}/pwani-{}.sock\"\n}}\n",
-                      day.fleet_rate / static_cast<double>(day.coordinators.size()), folder, number);
+      text += fmt::format(
+          "forwarder \"{}\" {{\n  zone = \"{}\"\n  runtime = \"{}:9999\"\n  sources = [\"{}\"]\n  usual_rate "
+          "= {}\n}}\n",
+          f.name, f.zone, f.at.text(), Prefix{masked(f.at, 24), 24}.text(),
+          std::max(1.0, f.kind.rate * f.kind.clients / f.kind.count));
+  text +=
+      fmt::format("runtime {{\n  fleet_rate = {}\n}}\noperators {{\n  socket = \"{}/pwani-{}.sock\"\n}}\n",
+                  day.fleet_rate / static_cast<double>(day.coordinators.size()), folder, number);
   if (day.shared) {
-    text += fmt::format("cluster {{\n  member = \"pwani-{}\"\n  key_file = \"{}/keys\"\n  shards = 6\n  lease = \"{}\"\n}}\n", number, folder, s(day.lease));
+    text += fmt::format(
+        "cluster {{\n  member = \"pwani-{}\"\n  key_file = \"{}/keys\"\n  shards = 6\n  lease = \"{}\"\n}}\n",
+        number, folder, s(day.lease));
     for (std::size_t k = 1; k <= day.coordinators.size(); ++k)
-      text += fmt::format("member \"pwani-{}\" {{\n  address = \"{}:7000\"\n}}\n", k, places.coordinator(k).address.text());
+      text += fmt::format("member \"pwani-{}\" {{\n  address = \"{}:7000\"\n}}\n", k,
+                          places.coordinator(k).address.text());
   }
-  if (day.record && folder != ".") text += fmt::format("recording {{\n  file = \"{}/pwani-{}.h5\"\n}}\n", folder, number);
-  if (day.keeps && folder != ".") text += fmt::format("store {{\n  folder = \"{}/pwani-{}.store\"\n}}\n", folder, number);
-  text += fmt::format("roster {{\n  file = \"{0}/roster.hcl\"\n}}\nlog {{\n  file = \"{0}/pwani-{1}.log\"\n"
-                      "  records = \"{0}/pwani-{1}.records\"\n}}\n",
-                      folder, number);
+  if (day.record && folder != ".")
+    text += fmt::format("recording {{\n  file = \"{}/pwani-{}.h5\"\n}}\n", folder, number);
+  if (day.keeps && folder != ".")
+    text += fmt::format("store {{\n  folder = \"{}/pwani-{}.store\"\n}}\n", folder, number);
+  text += fmt::format(
+      "roster {{\n  file = \"{0}/roster.hcl\"\n}}\nlog {{\n  file = \"{0}/pwani-{1}.log\"\n"
+      "  records = \"{0}/pwani-{1}.records\"\n}}\n",
+      folder, number);
   return text;
 }
 
--- a/src/script/day.hpp
+++ b/src/script/day.hpp
@@ -35,9 +35,9 @@
 struct DayClients {
   std::string zone;
   int count = 0;
-  double rate = 1;       // invocations a second, each
-  double by_address = 0; // the part that looks up addresses in place of SRV records
-  int disobedient = 0;   // that keep answers ten times too long
+  double rate = 1;        // invocations a second, each
+  double by_address = 0;  // the part that looks up addresses in place of SRV records
+  int disobedient = 0;    // that keep answers ten times too long
 };
 struct Phase {
   std::string name;
@@ -51,11 +51,27 @@
   bool two_choice = false;
 };
 enum class TroubleKind {
-  crash, hang, errors, slow, silent, refuse, drain,
+  crash,
+  hang,
+  errors,
+  slow,
+  silent,
+  refuse,
+  drain,
   // of forwarders
-  forwarder_restart, forwarder_refuse, forwarder_slow, forwarder_lie, forwarder_half, streams,
+  forwarder_restart,
+  forwarder_refuse,
+  forwarder_slow,
+  forwarder_lie,
+  forwarder_half,
+  streams,
   // of the rest
-  cut_link, slow_link, stale_list, late_reports, ageing, false_reports
+  cut_link,
+  slow_link,
+  stale_list,
+  late_reports,
+  ageing,
+  false_reports
 };
 struct Trouble {
   std::string name, zone;  // zone empty: all
@@ -63,14 +79,15 @@
   bool one_way = false;    // of links: only from `zone`
   TroubleKind kind = TroubleKind::crash;
   Span at, lasts;
-  int count = 0;      // workers of the zone, the first that are well; 0: by part
+  int count = 0;  // workers of the zone, the first that are well; 0: by part
   double part = 1;
-  double size = 1;    // slow, ageing: times slower; slow_link, late_reports: s; false_reports: times the true use
+  double size =
+      1;  // slow, ageing: times slower; slow_link, late_reports: s; false_reports: times the true use
 };
 struct Kill {
   std::string coordinator;
   Span at, lasts;
-  bool pause = false;  // it stands still (SIGSTOP) and wakes, in place of being killed
+  bool pause = false;    // it stands still (SIGSTOP) and wakes, in place of being killed
   bool planned = false;  // it is asked to stop (SIGTERM), and hands over what it leads first
 };
 // What a person orders of all coordinators.
@@ -79,7 +96,8 @@
   Span at;
   coordinator::PersonOrders order;
 };
-// Orders cut at seeded byte offsets: the sender is killed, or stands still and wakes, while the rest is on its way.
+// Orders cut at seeded byte offsets: the sender is killed, or stands still and wakes, while the rest is on
+// its way.
 struct Cuts {
   int count = 0;
   Span first, every, lasts;
@@ -118,10 +136,10 @@
   int messages_most = 0;
   Span messages_window;
   bool levels = false;
-  bool spill = false;                             // flows by tiers
+  bool spill = false;                                    // flows by tiers
   std::map<std::string, std::vector<std::string>> near;  // by zone
-  bool record = false;  // coordinators write recordings
-  bool keeps = false;   // coordinators keep a store, and recall it
+  bool record = false;                                   // coordinators write recordings
+  bool keeps = false;                                    // coordinators keep a store, and recall it
   bool shared = false;  // the coordinators share the forwarders and take over from one another
   Span lease;
   Unsafe unsafe;
@@ -134,10 +152,12 @@
 // octets differ by 10 or more don't meet.
 struct Places {
   unsigned octet = 10;
-  [[nodiscard]] Endpoint worker(std::size_t zone, std::size_t number) const;  // 127.octet.zone+1.number, 250 a port
-  [[nodiscard]] Address client(std::size_t zone, std::size_t number) const;   // 127.octet+1+zone.0.number
-  [[nodiscard]] Endpoint coordinator(std::size_t number) const;               // 127.octet.0.number
-  // Of the forwarders that coordinator `led_by` leads: 127.octet+1+zone.led_by.number, so that a /24 is led by one.
+  [[nodiscard]] Endpoint worker(std::size_t zone,
+                                std::size_t number) const;  // 127.octet.zone+1.number, 250 a port
+  [[nodiscard]] Address client(std::size_t zone, std::size_t number) const;  // 127.octet+1+zone.0.number
+  [[nodiscard]] Endpoint coordinator(std::size_t number) const;              // 127.octet.0.number
+  // Of the forwarders that coordinator `led_by` leads: 127.octet+1+zone.led_by.number, so that a /24 is led
+  // by one.
   [[nodiscard]] Address forwarder(std::size_t zone, std::size_t led_by, std::size_t number) const;
   [[nodiscard]] Prefix clients_of(std::size_t zone) const;
 };
--- a/src/settings_json/settings.cpp
+++ b/src/settings_json/settings.cpp
@@ -14,10 +14,12 @@
 constexpr std::size_t kZonesMost = 64, kOperationsMost = 255;
 constexpr std::uint64_t kProxiesMost = 65536;
 
-void check_names(const Fields& config, const char* key, const std::vector<std::string>& names, std::size_t most) {
+void check_names(const Fields& config, const char* key, const std::vector<std::string>& names,
+                 std::size_t most) {
   if (names.empty()) config.fail(key, "is empty");
   if (names.size() > most) config.fail(key, "holds more than " + std::to_string(most));
-  if (const std::set<std::string> once{names.begin(), names.end()}; once.size() < names.size()) config.fail(key, "holds a name twice");
+  if (const std::set<std::string> once{names.begin(), names.end()}; once.size() < names.size())
+    config.fail(key, "holds a name twice");
 }
 
 Operation read_operation(const Fields& f) {
@@ -55,11 +57,14 @@
   }
   s.usual_tries = static_cast<FurtherTries>(family.whole("usual-how", 3));
   const auto discovery = config.text("discovery");
-  if (discovery != "subscribe" && discovery != "automatic") config.fail("discovery", "is not known: " + discovery);
+  if (discovery != "subscribe" && discovery != "automatic")
+    config.fail("discovery", "is not known: " + discovery);
   s.ask_for_list = discovery == "subscribe";
   // What the module can't do must not look as if it were done.
-  if (family.has("ranges") && family.whole("ranges", kCountMost) > 0) family.fail("ranges", "is above 0: key ranges are not supported");
-  if (family.maybe_flag("one-owner").value_or(false)) family.fail("one-owner", "is true: owners of key ranges are not supported");
+  if (family.has("ranges") && family.whole("ranges", kCountMost) > 0)
+    family.fail("ranges", "is above 0: key ranges are not supported");
+  if (family.maybe_flag("one-owner").value_or(false))
+    family.fail("one-owner", "is true: owners of key ranges are not supported");
   s.report_every = family.span("report-every-s");
   s.intake = family.number("intake-per-s");
   s.backlog = family.number("backlog");
--- a/src/settings_json/settings.hpp
+++ b/src/settings_json/settings.hpp
@@ -1,4 +1,5 @@
-// The settings object that both the bench's adapter and the platform's configuration hold, to the module's Settings.
+// The settings object that both the bench's adapter and the platform's configuration hold, to the module's
+// Settings.
 #pragma once
 
 #include <string>
--- a/src/shared_fleet/part.cpp
+++ b/src/shared_fleet/part.cpp
@@ -10,7 +10,8 @@
 using coordinator::kFirstForwarder;
 
 cluster::ShardId Part::shard_of(ProxyId proxy, const coordinator::Settings& s) const {
-  return cluster_->shard_of(is_forwarder(proxy) ? s.forwarders[proxy.value - kFirstForwarder].name : s.groups[proxy.value].name);
+  return cluster_->shard_of(is_forwarder(proxy) ? s.forwarders[proxy.value - kFirstForwarder].name
+                                                : s.groups[proxy.value].name);
 }
 
 // What the others knew, once for each moment in which something is taken over, and before it is.
@@ -61,7 +62,8 @@
     if (!table) continue;  // nobody is heard: what stands, stands
     coordinator::Followed followed{group, true, table->lines, {}};
     for (const auto& op : s.operations)
-      if (const auto level = table->levels.find(op.name); level != table->levels.end()) followed.levels.push_back(level->second);
+      if (const auto level = table->levels.find(op.name); level != table->levels.end())
+        followed.levels.push_back(level->second);
     turn.inputs.emplace_back(std::move(followed));
   }
   return turn;
--- a/src/shared_fleet/part.hpp
+++ b/src/shared_fleet/part.hpp
@@ -1,6 +1,6 @@
-// One controller's part in a shared fleet, between its core and its cluster: what it newly leads or leads no more,
-// what it takes over then, what it tells the others and what it hears of them. Free of I/O and clock; the program
-// and the virtual clock use it alike.
+// One controller's part in a shared fleet, between its core and its cluster: what it newly leads or leads no
+// more, what it takes over then, what it tells the others and what it hears of them. Free of I/O and clock;
+// the program and the virtual clock use it alike.
 #pragma once
 
 #include <map>
--- a/src/spill/flows.cpp
+++ b/src/spill/flows.cpp
@@ -13,14 +13,18 @@
 
 double tier_cost(int tier) { return tier <= 0 ? 0 : std::pow(kTierCost, tier - 1); }
 
-// Columns: flow of each class from each proxy zone to each backend zone, what is lost, and what changes up or down.
+// Columns: flow of each class from each proxy zone to each backend zone, what is lost, and what changes up or
+// down.
 class Program {
  public:
-  explicit Program(const Problem& p) : p_{p}, zones_{p.tier.size()}, backends_{p.capacity.size()}, lp_{glp_create_prob(), glp_delete_prob} {
+  explicit Program(const Problem& p)
+      : p_{p}, zones_{p.tier.size()}, backends_{p.capacity.size()}, lp_{glp_create_prob(), glp_delete_prob} {
     glp_term_out(GLP_OFF);
-    const std::size_t flows = p.classes.size() * zones_ * backends_, losts = p.classes.size() * zones_, changes = zones_ * backends_;
+    const std::size_t flows = p.classes.size() * zones_ * backends_, losts = p.classes.size() * zones_,
+                      changes = zones_ * backends_;
     glp_add_cols(lp_.get(), static_cast<int>(flows + losts + changes + 1));
-    for (std::size_t k = 0; k < flows + losts + changes + 1; ++k) glp_set_col_bnds(lp_.get(), static_cast<int>(k + 1), GLP_LO, 0, 0);
+    for (std::size_t k = 0; k < flows + losts + changes + 1; ++k)
+      glp_set_col_bnds(lp_.get(), static_cast<int>(k + 1), GLP_LO, 0, 0);
     for (std::size_t c = 0; c < p.classes.size(); ++c)
       for (std::size_t z = 0; z < zones_; ++z) {
         std::vector<std::pair<int, double>> row{{lost(c, z), 1}};
@@ -52,7 +56,8 @@
         for (const double sign : {1.0, -1.0}) {
           // change >= sign * (flow - now)
           std::vector<std::pair<int, double>> row{{change(z, b), 1}};
-          for (std::size_t c = 0; c < p.classes.size(); ++c) row.emplace_back(flow(c, z, b), -sign * p.classes[c].cost);
+          for (std::size_t c = 0; c < p.classes.size(); ++c)
+            row.emplace_back(flow(c, z, b), -sign * p.classes[c].cost);
           add(row, GLP_LO, -sign * p.now[z][b]);
         }
   }
@@ -69,7 +74,8 @@
       for (std::size_t c = 0; c < p_.classes.size(); ++c)
         for (std::size_t z = 0; z < zones_; ++z)
           for (std::size_t b = 0; b < backends_; ++b)
-            if (p_.tier[z][b] > 0) terms.emplace_back(flow(c, z, b), p_.classes[c].cost * tier_cost(p_.tier[z][b]));
+            if (p_.tier[z][b] > 0)
+              terms.emplace_back(flow(c, z, b), p_.classes[c].cost * tier_cost(p_.tier[z][b]));
     } else {
       for (std::size_t z = 0; z < zones_; ++z)
         for (std::size_t b = 0; b < backends_; ++b) terms.emplace_back(change(z, b), 1);
@@ -80,7 +86,8 @@
     glp_smcp how;
     glp_init_smcp(&how);
     how.msg_lev = GLP_MSG_OFF;
-    if (glp_simplex(lp_.get(), &how) != 0 || glp_get_status(lp_.get()) != GLP_OPT) throw std::runtime_error{"the flows have no solution"};
+    if (glp_simplex(lp_.get(), &how) != 0 || glp_get_status(lp_.get()) != GLP_OPT)
+      throw std::runtime_error{"the flows have no solution"};
     const double best = glp_get_obj_val(lp_.get());
     // What comes after may not undo this, but for the solver's own rounding.
     if (!terms.empty()) add(terms, GLP_UP, best + 1e-7 * (1 + std::abs(best)));
@@ -88,8 +95,12 @@
   }
 
   [[nodiscard]] double at(int column) const { return std::max(0.0, glp_get_col_prim(lp_.get(), column)); }
-  [[nodiscard]] int flow(std::size_t c, std::size_t z, std::size_t b) const { return static_cast<int>((c * zones_ + z) * backends_ + b + 1); }
-  [[nodiscard]] int lost(std::size_t c, std::size_t z) const { return static_cast<int>(p_.classes.size() * zones_ * backends_ + c * zones_ + z + 1); }
+  [[nodiscard]] int flow(std::size_t c, std::size_t z, std::size_t b) const {
+    return static_cast<int>((c * zones_ + z) * backends_ + b + 1);
+  }
+  [[nodiscard]] int lost(std::size_t c, std::size_t z) const {
+    return static_cast<int>(p_.classes.size() * zones_ * backends_ + c * zones_ + z + 1);
+  }
   [[nodiscard]] int fullest() const { return glp_get_num_cols(lp_.get()); }
   [[nodiscard]] int change(std::size_t z, std::size_t b) const {
     return static_cast<int>(p_.classes.size() * zones_ * (backends_ + 1) + z * backends_ + b + 1);
@@ -126,8 +137,10 @@
   s.admitted.assign(p.classes.size(), std::vector<double>(zones, 1));
   for (std::size_t c = 0; c < p.classes.size(); ++c)
     for (std::size_t z = 0; z < zones; ++z) {
-      for (std::size_t b = 0; b < backends; ++b) s.flow[z][b] += program.at(program.flow(c, z, b)) * p.classes[c].cost;
-      if (p.classes[c].demand[z] > 0) s.admitted[c][z] = std::clamp(1 - program.at(program.lost(c, z)) / p.classes[c].demand[z], 0.0, 1.0);
+      for (std::size_t b = 0; b < backends; ++b)
+        s.flow[z][b] += program.at(program.flow(c, z, b)) * p.classes[c].cost;
+      if (p.classes[c].demand[z] > 0)
+        s.admitted[c][z] = std::clamp(1 - program.at(program.lost(c, z)) / p.classes[c].demand[z], 0.0, 1.0);
     }
   return s;
 }
--- a/src/standins/auditor.cpp
+++ b/src/standins/auditor.cpp
@@ -35,8 +35,8 @@
   std::set<std::string> draining_;
 };
 
-// Rule 1: the longest time that a group's clients asked and none was answered with a line, while a warm worker
-// was listed. Being rate-limited is an answer.
+// Rule 1: the longest time that a group's clients asked and none was answered with a line, while a warm
+// worker was listed. Being rate-limited is an answer.
 Verdict without_answer(const Day& day, const std::vector<Record>& records) {
   Verdict v{"1 nobody left without a worker", true, 0, day.unserved.seconds(), "s", ""};
   std::map<std::string, std::int64_t> bare_since;
@@ -112,9 +112,11 @@
 
 // Rule 3: what clients that obey sent to a worker after the roster said that it drains. Of those that do not
 // obey, nothing may have begun past the grace: what they sent is for the worker to refuse.
-void drains(const Day& day, const std::vector<Record>& records, std::uint64_t& refused, std::vector<Verdict>& out) {
+void drains(const Day& day, const std::vector<Record>& records, std::uint64_t& refused,
+            std::vector<Verdict>& out) {
   Verdict sent{"3 drains kept, sending", true, 0, day.drain_grace.seconds(), "s after it was told", ""};
-  Verdict begun{"3 drains kept, work taken on", true, 0, day.drain_grace.seconds(), "s after it was told", ""};
+  Verdict begun{"3 drains kept, work taken on", true, 0, day.drain_grace.seconds(),
+                "s after it was told",          ""};
   std::map<std::string, std::int64_t> told;
   std::map<std::string, bool> obeys;  // by invocation
   std::map<std::string, std::string> via;
@@ -173,7 +175,8 @@
     const double age = seconds(r.t - y.start) / day.cold_for.seconds();
     if (age >= 1) continue;
     y.came.emplace_back(r.t, r.number("work")), y.sum += r.number("work");
-    while (r.t - y.came.front().first > day.tip_after.micros()) y.sum -= y.came.front().second, y.came.pop_front();
+    while (r.t - y.came.front().first > day.tip_after.micros())
+      y.sum -= y.came.front().second, y.came.pop_front();
     const double able = y.cores * (day.cold_from + (1 - day.cold_from) * age) * day.tip_after.seconds();
     if (y.sum / able > v.worst) {
       v.worst = y.sum / able;
@@ -188,7 +191,8 @@
 void channel(const Day& day, const std::vector<Record>& records, std::vector<Verdict>& out) {
   const double limit = day.unsafe.backlog_judged > 0 ? day.unsafe.backlog_judged : day.backlog;
   Verdict lines{"5 lines waiting in a channel", true, 0, limit, "lines", ""};
-  Verdict messages{"5 messages to a group", true, 0, static_cast<double>(day.messages_most), "in the window", ""};
+  Verdict messages{"5 messages to a group", true, 0, static_cast<double>(day.messages_most),
+                   "in the window",         ""};
   struct State {
     double waiting = 0;
     std::int64_t at = 0;
@@ -246,7 +250,7 @@
     std::optional<std::int64_t> first_without, last_with;
   };
   std::map<std::string, std::string> place;
-  std::map<std::string, Down> down;  // by address
+  std::map<std::string, Down> down;                                       // by address
   std::map<std::string, std::pair<std::int64_t, std::int64_t>> draining;  // by worker: told, last sent
   std::map<std::string, bool> obeys;
   const auto settle = [&](const Down& d) {
@@ -301,7 +305,9 @@
   std::sort(sorted.begin(), sorted.end());
   return sorted[sorted.size() / 2];
 }
-double Reaction::worst() const { return seconds.empty() ? 0 : *std::max_element(seconds.begin(), seconds.end()); }
+double Reaction::worst() const {
+  return seconds.empty() ? 0 : *std::max_element(seconds.begin(), seconds.end());
+}
 
 bool Audit::kept() const {
   return std::all_of(verdicts.begin(), verdicts.end(), [](const Verdict& v) { return v.kept; });
--- a/src/standins/auditor.hpp
+++ b/src/standins/auditor.hpp
@@ -34,12 +34,13 @@
   Reaction unled;            // forwarders: from a stream's end to the next one's beginning
   std::size_t cuts = 0;      // orders that were cut at a byte
   Reaction in_force;         // from the handing over of a table to the forwarder's last answer
-  Reaction drain_to_last;    // from the telling of a drain to the last invocation that an obedient client sent
+  Reaction drain_to_last;  // from the telling of a drain to the last invocation that an obedient client sent
   std::vector<Verdict> verdicts;
   Count whole;
   std::map<std::string, Count> by_operation;
   std::vector<std::pair<std::string, Count>> by_phase;
-  std::uint64_t disobedient_refused = 0;  // sent by clients that disobey to a worker that drains, refused there
+  std::uint64_t disobedient_refused =
+      0;  // sent by clients that disobey to a worker that drains, refused there
   [[nodiscard]] bool kept() const;
 };
 [[nodiscard]] Audit audit(const Day& day, const std::vector<Record>& records);
--- a/src/standins/client.cpp
+++ b/src/standins/client.cpp
@@ -8,8 +8,8 @@
 
 const Span kPatience = Span::seconds(0.3);  // with a DNS server that says nothing
 constexpr std::uint16_t kPort = 9000;
-constexpr double kGiveUp = 0.7;             // of the integration timeout, for one try
-constexpr double kTooLong = 10;             // times the lifetime, for a client that does not obey
+constexpr double kGiveUp = 0.7;  // of the integration timeout, for one try
+constexpr double kTooLong = 10;  // times the lifetime, for a client that does not obey
 
 }  // namespace
 
@@ -74,9 +74,15 @@
     auto listed = nlohmann::ordered_json::array();
     for (const auto& t : answer.targets) listed.push_back(t.at.text());
     recorder_.write(loop_.now(), "lookup",
-                    {{"client", s_.name}, {"zone", s_.zone}, {"operation", s_.operations[operation].name},
-                     {"lines", answer.targets.size()}, {"listed", std::move(listed)}, {"srv", !s_.by_address}, {"answered", answer.answered},
-                     {"limited", answer.unavailable}, {"lifetime", answer.lifetime.seconds()},
+                    {{"client", s_.name},
+                     {"zone", s_.zone},
+                     {"operation", s_.operations[operation].name},
+                     {"lines", answer.targets.size()},
+                     {"listed", std::move(listed)},
+                     {"srv", !s_.by_address},
+                     {"answered", answer.answered},
+                     {"limited", answer.unavailable},
+                     {"lifetime", answer.lifetime.seconds()},
                      {"took", (loop_.now() - began).seconds()}});
     const auto waiting = std::exchange(to.waiting, {});
     if (answer.targets.empty()) {
@@ -101,7 +107,8 @@
   std::vector<const Target*> left;
   for (const bool fresh : {true, false}) {
     for (const auto& t : cache.targets)
-      if (!fresh || std::find(inv.tried.begin(), inv.tried.end(), t.at) == inv.tried.end()) left.push_back(&t);
+      if (!fresh || std::find(inv.tried.begin(), inv.tried.end(), t.at) == inv.tried.end())
+        left.push_back(&t);
     if (!left.empty()) break;
   }
   if (left.empty()) return nullptr;
@@ -151,9 +158,8 @@
   if (result.outcome == net::HttpClient::Outcome::answered && result.response.status == 200)
     return done(number, took <= op.latency_objective ? "succeeded" : "late");
   // Proof that it never ran: no connection stood, or the worker says so.
-  const bool proof = !result.sent ||
-                     (result.outcome == net::HttpClient::Outcome::answered &&
-                      result.response.header("Never-Ran") != nullptr);
+  const bool proof = !result.sent || (result.outcome == net::HttpClient::Outcome::answered &&
+                                      result.response.header("Never-Ran") != nullptr);
   const bool may = proof || op.may_repeat() || s_.repeat_all;
   if (result.outcome == net::HttpClient::Outcome::answered && result.response.status == 429)
     return done(number, "rate_limited");
@@ -165,8 +171,10 @@
   const auto it = open_.find(number);
   if (it == open_.end()) return;
   recorder_.write(loop_.now(), "done",
-                  {{"id", it->second.id}, {"operation", s_.operations[it->second.operation].name},
-                   {"outcome", outcome}, {"took", (loop_.now() - it->second.came).seconds()}});
+                  {{"id", it->second.id},
+                   {"operation", s_.operations[it->second.operation].name},
+                   {"outcome", outcome},
+                   {"took", (loop_.now() - it->second.came).seconds()}});
   open_.erase(it);
 }
 
--- a/src/standins/client.hpp
+++ b/src/standins/client.hpp
@@ -23,8 +23,8 @@
   double rate = 1;
   bool by_address = false;
   std::optional<Endpoint> via;  // calls this forwarder, and looks nothing up
-  bool obeys = true;       // false: keeps answers ten times as long as it may
-  bool repeat_all = false; // false: repeats side-effecting work only on proof that it never ran
+  bool obeys = true;            // false: keeps answers ten times as long as it may
+  bool repeat_all = false;      // false: repeats side-effecting work only on proof that it never ran
 };
 
 class Client {
--- a/src/standins/forwarder.cpp
+++ b/src/standins/forwarder.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr int kFailures = 4;                    // in a row, of its own tries, before it keeps away
+constexpr int kFailures = 4;  // in a row, of its own tries, before it keeps away
 const Span kAway = Span::seconds(3);
-const Span kStill = Span::seconds(40e-6);       // for each line that it reads
+const Span kStill = Span::seconds(40e-6);  // for each line that it reads
 
 }  // namespace
 
@@ -31,8 +31,15 @@
 };
 
 Forwarder::Forwarder(net::Loop& loop, Recorder& recorder, ForwarderSettings settings, std::uint64_t seed)
-    : loop_{loop}, recorder_{recorder}, s_{std::move(settings)}, chance_{static_cast<std::uint32_t>(seed)},
-      runtime_{loop, [this](std::uint64_t peer, const std::string& text, const std::string&) { return command(peer, text); }, {}} {
+    : loop_{loop},
+      recorder_{recorder},
+      s_{std::move(settings)},
+      chance_{static_cast<std::uint32_t>(seed)},
+      runtime_{loop,
+               [this](std::uint64_t peer, const std::string& text, const std::string&) {
+                 return command(peer, text);
+               },
+               {}} {
   runtime_.on_gone([this](std::uint64_t peer) {
     terms_.erase(peer), leaders_.erase(peer);
     if (led_by_.erase(peer) > 0) recorder_.write(loop_.now(), "left", {{"forwarder", s_.name}});
@@ -101,7 +108,8 @@
     return words.size() >= start.size() && std::equal(start.begin(), start.end(), words.begin());
   };
   if (is({"show", "info"}))
-    return fmt::format("Name: HAProxy\nVersion: stand-in\nUptime_sec: {:.0f}\nnode: {}\n", (loop_.now() - started_).seconds(), s_.name);
+    return fmt::format("Name: HAProxy\nVersion: stand-in\nUptime_sec: {:.0f}\nnode: {}\n",
+                       (loop_.now() - started_).seconds(), s_.name);
   if (is({"show", "servers", "state"})) {
     if (led_by_.insert(peer).second) recorder_.write(loop_.now(), "joined", {{"forwarder", s_.name}});
     const std::string whole = servers_state();
@@ -109,7 +117,8 @@
   }
   if (is({"show", "stat"})) return stat();
   if (is({"get", "var", "proc.gm_term"}))
-    return highest_ == 0 ? "proc.gm_term: undefined variable or value not set\n" : fmt::format("proc.gm_term: type=sint value=<{}>\n", highest_);
+    return highest_ == 0 ? "proc.gm_term: undefined variable or value not set\n"
+                         : fmt::format("proc.gm_term: type=sint value=<{}>\n", highest_);
   const bool changes = is({"set"}) || is({"add"}) || is({"del"}) || is({"enable"}) || is({"disable"});
   if (!changes) return fmt::format("Unknown command: '{}'.\n", words.empty() ? "" : words[0]);
   if (fault_ == TroubleKind::forwarder_refuse) return "Permission denied\n";
@@ -128,10 +137,12 @@
     if (term->second < highest_ && s_.fences) return "Permission denied: a higher term was seen\n";
     recorder_.write(loop_.now(), "obeyed", {{"forwarder", s_.name}, {"term", term->second}});
     if (cut_)
-      runtime_.freeze_after(peer, cut_bytes_, [this, peer, then = std::exchange(cut_, {})] { then(leaders_[peer]); });
+      runtime_.freeze_after(peer, cut_bytes_,
+                            [this, peer, then = std::exchange(cut_, {})] { then(leaders_[peer]); });
   }
   still_until_ = std::max(still_until_, loop_.now()) + kStill;
-  if (is({"set", "var"}) && words.size() == 4 && words[2].starts_with("proc.gm_") && words[3].starts_with("int(")) {
+  if (is({"set", "var"}) && words.size() == 4 && words[2].starts_with("proc.gm_") &&
+      words[3].starts_with("int(")) {
     values_[words[2].substr(8)] = std::atoi(words[3].c_str() + 4);
     return "";
   }
@@ -165,23 +176,27 @@
 std::string Forwarder::set_server(const std::vector<std::string>& words) {
   if (words.size() < 5) return "'set server' expects a server and a value.\n";
   const auto slash = words[2].find('/');
-  const auto it = lines_.find({words[2].substr(0, slash), slash == std::string::npos ? "" : words[2].substr(slash + 1)});
+  const auto it =
+      lines_.find({words[2].substr(0, slash), slash == std::string::npos ? "" : words[2].substr(slash + 1)});
   if (it == lines_.end()) return "No such server.\n";
   auto& held = it->second.held;
   if (words[3] == "weight") {
     char* end = nullptr;
     double number = std::strtod(words[4].c_str(), &end);
     if (*end == '%') number = held.weight * number / 100, ++end;
-    if (*end != 0 || number < 0 || number > forwarders::kWeightMost) return "Absolute weight can only be between 0 and 256 inclusive.\n";
+    if (*end != 0 || number < 0 || number > forwarders::kWeightMost)
+      return "Absolute weight can only be between 0 and 256 inclusive.\n";
     held.weight = static_cast<int>(number);
   } else if (words[3] == "state") {
-    if (words[4] != "ready" && words[4] != "drain" && words[4] != "maint") return "'set server <srv> state' expects 'ready', 'drain' and 'maint'.\n";
+    if (words[4] != "ready" && words[4] != "drain" && words[4] != "maint")
+      return "'set server <srv> state' expects 'ready', 'drain' and 'maint'.\n";
     held.state = words[4] == "ready" ? State::ready : words[4] == "drain" ? State::drain : State::maint;
   } else if (words[3] == "addr") {
     const auto address = Address::parse(words[4]);
     if (!address) return "Invalid addr format.\n";
     held.at.address = *address;
-    if (words.size() > 6 && words[5] == "port") held.at.port = static_cast<std::uint16_t>(std::atoi(words[6].c_str()));
+    if (words.size() > 6 && words[5] == "port")
+      held.at.port = static_cast<std::uint16_t>(std::atoi(words[6].c_str()));
     it->second.in_a_row = 0, it->second.avoid_until = {};
     return "IP changed from 'somewhere' by 'stats socket command'\n";
   } else {
@@ -191,30 +206,37 @@
 }
 
 std::string Forwarder::servers_state() const {
-  std::string out = "1\n# be_id be_name srv_id srv_name srv_addr srv_op_state srv_admin_state srv_uweight srv_iweight "
-                    "srv_time_since_last_change srv_check_status srv_port\n";
+  std::string out =
+      "1\n# be_id be_name srv_id srv_name srv_addr srv_op_state srv_admin_state srv_uweight srv_iweight "
+      "srv_time_since_last_change srv_check_status srv_port\n";
   int number = 0;
   for (const auto& [key, line] : lines_) {
     const auto& h = line.held;
-    out += fmt::format("3 {} {} {} {} {} {} {} 100 0 1 {}\n", key.first, ++number, key.second, h.at.address.text(),
-                       h.state == State::maint ? 0 : 2, h.state == State::maint ? 1 : h.state == State::drain ? 8 : 0, h.weight, h.at.port);
+    out += fmt::format("3 {} {} {} {} {} {} {} 100 0 1 {}\n", key.first, ++number, key.second,
+                       h.at.address.text(), h.state == State::maint ? 0 : 2,
+                       h.state == State::maint   ? 1
+                       : h.state == State::drain ? 8
+                                                 : 0,
+                       h.weight, h.at.port);
   }
   return out;
 }
 
 std::string Forwarder::stat() const {
-  std::string out = "# pxname,svname,qcur,qmax,scur,stot,econ,eresp,wredis,weight,hrsp_2xx,hrsp_5xx,ttime,extra,\n";
+  std::string out =
+      "# pxname,svname,qcur,qmax,scur,stot,econ,eresp,wredis,weight,hrsp_2xx,hrsp_5xx,ttime,extra,\n";
   const bool lies = fault_ == TroubleKind::forwarder_lie;
   for (const auto& op : s_.operations) {
     for (const auto& [key, line] : lines_)
       if (key.first == op.name)
-        out += fmt::format("{},{},0,0,{},{},{},0,0,{},{},{},{:.0f},,\n", key.first, key.second, line.out, line.tries,
-                           line.errored, line.held.weight, line.tries - std::min(line.tries, line.errored + line.failed),
+        out += fmt::format("{},{},0,0,{},{},{},0,0,{},{},{},{:.0f},,\n", key.first, key.second, line.out,
+                           line.tries, line.errored, line.held.weight,
+                           line.tries - std::min(line.tries, line.errored + line.failed),
                            lies ? line.tries * 50 : line.failed, 1000 * line.latency);
     const auto it = arrived_.find(op.name);
     const auto again = further_.find(op.name);
-    out += fmt::format("{},BACKEND,0,0,0,{},0,0,{},0,0,0,0,,\n", op.name, it == arrived_.end() ? 0 : it->second,
-                       again == further_.end() ? 0 : again->second);
+    out += fmt::format("{},BACKEND,0,0,0,{},0,0,{},0,0,0,0,,\n", op.name,
+                       it == arrived_.end() ? 0 : it->second, again == further_.end() ? 0 : again->second);
   }
   return out;
 }
@@ -235,7 +257,8 @@
   if (rate < 0 || rate >= 1'000'000'000) return true;
   auto& [left, at] = tokens_[name];
   const double per_second = rate / 10.0;
-  left = std::min(std::max(1.0, per_second / 2), left + per_second * (at == Instant{} ? 1.0 : (loop_.now() - at).seconds()));
+  left = std::min(std::max(1.0, per_second / 2),
+                  left + per_second * (at == Instant{} ? 1.0 : (loop_.now() - at).seconds()));
   at = loop_.now();
   if (left < 1) return false;
   left -= 1;
@@ -263,7 +286,8 @@
   for (const bool all : {false, true}) {
     for (const auto& [key, line] : lines_)
       if (key.first == op && line.held.picked() > 0 &&
-          (all || (loop_.now() >= line.avoid_until && std::find(call.tried.begin(), call.tried.end(), key.second) == call.tried.end())))
+          (all || (loop_.now() >= line.avoid_until &&
+                   std::find(call.tried.begin(), call.tried.end(), key.second) == call.tried.end())))
         fit.emplace_back(key.second, &line);
     if (!fit.empty()) break;
   }
@@ -290,7 +314,12 @@
   Line& line = lines_.at(key);
   ++line.tries, ++line.out, ++call->tries;
   call->tried.push_back(*worker);
-  recorder_.write(loop_.now(), "sent", {{"id", call->id}, {"to", line.held.at.text()}, {"obeys", true}, {"forwarder", s_.name}, {"operation", op.name}});
+  recorder_.write(loop_.now(), "sent",
+                  {{"id", call->id},
+                   {"to", line.held.at.text()},
+                   {"obeys", true},
+                   {"forwarder", s_.name},
+                   {"operation", op.name}});
   const Endpoint to = line.held.at;
   auto& idle = pool_[to];
   std::unique_ptr<net::HttpClient> http;
@@ -314,28 +343,33 @@
            });
 }
 
-void Forwarder::replied(const std::shared_ptr<Call>& call, const Key& key, const net::HttpClient::Result& result) {
+void Forwarder::replied(const std::shared_ptr<Call>& call, const Key& key,
+                        const net::HttpClient::Result& result) {
   using Outcome = net::HttpClient::Outcome;
   const bool well = result.outcome == Outcome::answered && result.response.status == 200;
-  const bool proof = !result.sent || (result.outcome == Outcome::answered && result.response.header("Never-Ran") != nullptr);
+  const bool proof =
+      !result.sent || (result.outcome == Outcome::answered && result.response.header("Never-Ran") != nullptr);
   if (const auto it = lines_.find(key); it != lines_.end()) {
     Line& line = it->second;
     --line.out;
     if (well) {
       line.in_a_row = 0;
-      line.latency = line.latency == 0 ? result.took.seconds() : 0.9 * line.latency + 0.1 * result.took.seconds();
+      line.latency =
+          line.latency == 0 ? result.took.seconds() : 0.9 * line.latency + 0.1 * result.took.seconds();
     } else {
       ++(result.outcome == Outcome::answered ? line.failed : line.errored);
       if (++line.in_a_row >= kFailures) line.in_a_row = 0, line.avoid_until = loop_.now() + kAway;
     }
   }
   if (well) return answer(*call, 200, false);
-  // 0: no other try; 1: one after proof; 2, 3: one or two after any failure. Side-effecting work only on proof.
+  // 0: no other try; 1: one after proof; 2, 3: one or two after any failure. Side-effecting work only on
+  // proof.
   const auto& op = s_.operations[call->operation];
   const int how = value("tries_" + op.name, 1);
   const int most = how == 0 ? 1 : how == 3 ? 3 : 2;
   const bool may = how > 0 && call->tries < most && (proof || (how >= 2 && op.may_repeat()));
-  if (may && loop_.now() - call->came < op.integration_timeout * 0.6 && meter_.again(loop_.now(), value("retries", -1))) {
+  if (may && loop_.now() - call->came < op.integration_timeout * 0.6 &&
+      meter_.again(loop_.now(), value("retries", -1))) {
     ++further_[op.name];
     return forward(call);
   }
--- a/src/standins/forwarder.hpp
+++ b/src/standins/forwarder.hpp
@@ -1,5 +1,6 @@
-// A stand-in forwarder: a plain proxy with a runtime socket in the published command language. It picks by its
-// table and nothing else, keeps it when the stream breaks, avoids what failed it, and has faults on command.
+// A stand-in forwarder: a plain proxy with a runtime socket in the published command language. It picks by
+// its table and nothing else, keeps it when the stream breaks, avoids what failed it, and has faults on
+// command.
 #pragma once
 
 #include <functional>
@@ -34,10 +35,11 @@
   Forwarder(const Forwarder&) = delete;
   Forwarder& operator=(const Forwarder&) = delete;
 
-  void restart();              // as its configuration has it: what it was told is forgotten
+  void restart();  // as its configuration has it: what it was told is forgotten
   void break_streams();
   void fault(std::optional<TroubleKind> kind);
-  // Of the next orders that many bytes are taken; what follows stays on the way. `then` gets the sender's name.
+  // Of the next orders that many bytes are taken; what follows stays on the way. `then` gets the sender's
+  // name.
   void cut_after(std::size_t bytes, std::function<void(const std::string& leader)> then);
   void thaw() { runtime_.thaw(); }
   void drop_frozen() { runtime_.drop_frozen(); }
--- a/src/standins/main.cpp
+++ b/src/standins/main.cpp
@@ -1,6 +1,5 @@
 // The program `gorsemount-standin`: the workers and clients of one fleet, and the auditor.
 #include <CLI/CLI.hpp>
-
 #include <cstdio>
 #include <exception>
 
@@ -18,7 +17,8 @@
   auto* play = app.add_subcommand("play", "play the workers and clients of a day");
   play->add_option("DAY", file, "the day (HCL)")->required();
   play->add_option("--folder", options.folder, "where records and the roster go")->required();
-  play->add_option("--octet", options.places.octet, "second byte of the loopback addresses")->check(CLI::Range(10, 200));
+  play->add_option("--octet", options.places.octet, "second byte of the loopback addresses")
+      ->check(CLI::Range(10, 200));
   play->add_option("--start", start, "when the day begins, microseconds of the monotonic clock")->required();
   play->add_flag("--show", options.show, "a live line of weights by zone");
   auto* judge = app.add_subcommand("audit", "judge a folder's records by a day's rules");
@@ -41,8 +41,8 @@
     }
     const auto result = standins::audit(day, standins::read_records(options.folder));
     for (const auto& v : result.verdicts)
-      std::printf("%-34s %s %.3f of %.3f %s %s\n", v.rule.c_str(), v.kept ? "kept" : "BROKEN", v.worst, v.limit,
-                  v.unit.c_str(), v.detail.c_str());
+      std::printf("%-34s %s %.3f of %.3f %s %s\n", v.rule.c_str(), v.kept ? "kept" : "BROKEN", v.worst,
+                  v.limit, v.unit.c_str(), v.detail.c_str());
     return result.kept() ? 0 : 1;
   } catch (const std::exception& fault) {
     std::fprintf(stderr, "gorsemount-standin: %s\n", fault.what());
--- a/src/standins/play.cpp
+++ b/src/standins/play.cpp
@@ -20,13 +20,17 @@
 class Stage {
  public:
   Stage(const Day& day, const PlayOptions& options)
-      : day_{day}, o_{options}, recorder_{options.folder + "/fleet.records"}, roster_{roster_of(day, options.places)} {}
+      : day_{day},
+        o_{options},
+        recorder_{options.folder + "/fleet.records"},
+        roster_{roster_of(day, options.places)} {}
 
   void run() {
     write_roster();
     make_workers();
     make_forwarders();
-    for (std::size_t k = 0; k < day_.coordinators.size(); ++k) servers_.push_back(o_.places.coordinator(k + 1));
+    for (std::size_t k = 0; k < day_.coordinators.size(); ++k)
+      servers_.push_back(o_.places.coordinator(k + 1));
     // Clients come once the coordinators have had time to bind.
     loop_.at(o_.start, [this] { make_clients(); });
     for (const auto& p : day_.phases)
@@ -58,12 +62,21 @@
   void make_workers() {
     std::map<std::string, std::size_t> numbers;
     for (const auto& w : day_.workers) {
-      const auto zone =
-          static_cast<std::size_t>(std::find(day_.zones.begin(), day_.zones.end(), w.zone) - day_.zones.begin());
+      const auto zone = static_cast<std::size_t>(std::find(day_.zones.begin(), day_.zones.end(), w.zone) -
+                                                 day_.zones.begin());
       for (int k = 0; k < w.count; ++k) {
         const std::size_t n = ++numbers[w.zone];
-        WorkerSettings s{worker_name(day_, zone, n), w.zone, o_.places.worker(zone, n), w.cores, w.speed, w.queue_most,
-                         day_.operations, day_.drain_grace, day_.cold_for, day_.tip_after, day_.cold_from,
+        WorkerSettings s{worker_name(day_, zone, n),
+                         w.zone,
+                         o_.places.worker(zone, n),
+                         w.cores,
+                         w.speed,
+                         w.queue_most,
+                         day_.operations,
+                         day_.drain_grace,
+                         day_.cold_for,
+                         day_.tip_after,
+                         day_.cold_from,
                          day_.tip_multiple};
         workers_.push_back(std::make_unique<Worker>(loop_, recorder_, std::move(s),
                                                     day_.seed * 1000 + workers_.size(), false));
@@ -74,17 +87,26 @@
   void make_clients() {
     std::map<std::string, std::size_t> numbers;
     for (const auto& c : day_.clients) {
-      const auto zone =
-          static_cast<std::size_t>(std::find(day_.zones.begin(), day_.zones.end(), c.zone) - day_.zones.begin());
+      const auto zone = static_cast<std::size_t>(std::find(day_.zones.begin(), day_.zones.end(), c.zone) -
+                                                 day_.zones.begin());
       for (int k = 0; k < c.count; ++k) {
         const std::size_t n = ++numbers[c.zone];
-        ClientSettings s{fmt::format("{}-clinic-{}", c.zone, n), c.zone, day_.origin, o_.places.client(zone, n), servers_,
-                         day_.operations, c.rate, k < c.by_address * c.count, {}, k >= c.disobedient, day_.unsafe.repeat_all};
+        ClientSettings s{fmt::format("{}-clinic-{}", c.zone, n),
+                         c.zone,
+                         day_.origin,
+                         o_.places.client(zone, n),
+                         servers_,
+                         day_.operations,
+                         c.rate,
+                         k < c.by_address * c.count,
+                         {},
+                         k >= c.disobedient,
+                         day_.unsafe.repeat_all};
         // Half of the clients ask one coordinator first, half the other.
         std::rotate(s.servers.begin(), s.servers.begin() + static_cast<std::ptrdiff_t>(n % servers_.size()),
                     s.servers.end());
-        clients_.push_back(std::make_unique<Client>(loop_, recorder_, std::move(s),
-                                                    day_.seed * 100000 + clients_.size()));
+        clients_.push_back(
+            std::make_unique<Client>(loop_, recorder_, std::move(s), day_.seed * 100000 + clients_.size()));
       }
     }
     make_callers(numbers);
@@ -92,30 +114,39 @@
 
   void make_forwarders() {
     for (const auto& place : forwarders_of(day_, o_.places)) {
-      ForwarderSettings s{place.name, place.zone, {place.at, 8000}, {place.at, 9999}, day_.operations, {}, place.kind.two_choice,
-                          !day_.unsafe.no_fence};
+      ForwarderSettings s{place.name,      place.zone, {place.at, 8000},      {place.at, 9999},
+                          day_.operations, {},         place.kind.two_choice, !day_.unsafe.no_fence};
       // Its own configuration lists up to four workers of its zone.
       for (const auto& line : roster_)
         if (line.zone == place.zone && s.first.size() < 4) s.first.push_back(line);
-      forwarders_.push_back(std::make_unique<Forwarder>(loop_, recorder_, std::move(s), day_.seed * 7000 + forwarders_.size()));
+      forwarders_.push_back(
+          std::make_unique<Forwarder>(loop_, recorder_, std::move(s), day_.seed * 7000 + forwarders_.size()));
     }
   }
 
   // Clients of forwarders: each calls one, those of a zone in turn.
   void make_callers(std::map<std::string, std::size_t>& numbers) {
     for (const auto& kind : day_.forwarders) {
-      const auto zone =
-          static_cast<std::size_t>(std::find(day_.zones.begin(), day_.zones.end(), kind.zone) - day_.zones.begin());
+      const auto zone = static_cast<std::size_t>(std::find(day_.zones.begin(), day_.zones.end(), kind.zone) -
+                                                 day_.zones.begin());
       std::vector<Endpoint> fronts;
       for (const auto& f : forwarders_)
         if (f->settings().zone == kind.zone) fronts.push_back(f->settings().listen);
       for (int k = 0; k < kind.clients; ++k) {
         const std::size_t n = ++numbers[kind.zone];
-        ClientSettings s{fmt::format("{}-caller-{}", kind.zone, n), kind.zone, day_.origin, o_.places.client(zone, n),
-                         servers_, day_.operations, kind.rate, false, fronts[static_cast<std::size_t>(k) % fronts.size()],
-                         true, day_.unsafe.repeat_all};
-        clients_.push_back(std::make_unique<Client>(loop_, recorder_, std::move(s),
-                                                    day_.seed * 100000 + clients_.size()));
+        ClientSettings s{fmt::format("{}-caller-{}", kind.zone, n),
+                         kind.zone,
+                         day_.origin,
+                         o_.places.client(zone, n),
+                         servers_,
+                         day_.operations,
+                         kind.rate,
+                         false,
+                         fronts[static_cast<std::size_t>(k) % fronts.size()],
+                         true,
+                         day_.unsafe.repeat_all};
+        clients_.push_back(
+            std::make_unique<Client>(loop_, recorder_, std::move(s), day_.seed * 100000 + clients_.size()));
       }
     }
   }
@@ -144,7 +175,8 @@
   }
 
   void strike(const Trouble& t) {
-    if (t.kind >= TroubleKind::forwarder_restart && t.kind <= TroubleKind::streams) return strike_forwarders(t);
+    if (t.kind >= TroubleKind::forwarder_restart && t.kind <= TroubleKind::streams)
+      return strike_forwarders(t);
     if (t.kind == TroubleKind::stale_list) {
       stale_ = true;
       loop_.after(t.lasts, [this] {
@@ -195,15 +227,17 @@
     loop_.after(day_.churn, [this] { churn(); });
   }
 
-  // The orders to one forwarder, drawn by the seed, stop at a byte drawn by the seed. Whoever sent them is to be
-  // struck: its name goes to the file that the player of the day reads.
+  // The orders to one forwarder, drawn by the seed, stop at a byte drawn by the seed. Whoever sent them is to
+  // be struck: its name goes to the file that the player of the day reads.
   void cut() {
     Forwarder* f = forwarders_[chance_() % forwarders_.size()].get();
     const std::size_t bytes = chance_() % static_cast<unsigned>(day_.cuts.bytes_most + 1);
     f->cut_after(bytes, [this, f, bytes](const std::string& leader) {
-      recorder_.write(loop_.now(), "cut", {{"forwarder", f->settings().name}, {"leader", leader}, {"bytes", bytes}});
+      recorder_.write(loop_.now(), "cut",
+                      {{"forwarder", f->settings().name}, {"leader", leader}, {"bytes", bytes}});
       std::ofstream{o_.folder + "/strikes", std::ios::app} << leader << "\n";
-      // What is on its way when the sender dies never comes; when it stands still, it comes just before it wakes.
+      // What is on its way when the sender dies never comes; when it stands still, it comes just before it
+      // wakes.
       if (day_.cuts.pause) {
         loop_.after(day_.cuts.lasts * 0.9, [f] { f->thaw(); });
       } else {
@@ -222,21 +256,25 @@
   // Weights by zone as a client of the first zone is told them.
   void show() {
     if (!watcher_)
-      watcher_ = std::make_unique<Resolver>(loop_, o_.places.client(0, 251), servers_, Span::seconds(0.3), 9000);
+      watcher_ =
+          std::make_unique<Resolver>(loop_, o_.places.client(0, 251), servers_, Span::seconds(0.3), 9000);
     if (!watcher_->busy())
-      watcher_->ask("_" + day_.operations.back().name + "._tcp." + day_.origin, true, [this](const Answer& answer) {
-        std::map<std::string, double> weights;
-        double all = 0;
-        for (const auto& t : answer.targets)
-          for (const auto& line : roster_)
-            if (line.at == t.at) weights[line.zone] += t.weight, all += t.weight;
-        std::string text = fmt::format("{:5.1f} s  {:<12}", (loop_.now() - o_.start).seconds(), phase_);
-        for (const auto& zone : day_.zones)
-          text += fmt::format("  {} {:5.1f}%", zone, all > 0 ? 100 * weights[zone] / all : 0);
-        const auto up = std::count_if(workers_.begin(), workers_.end(), [](const auto& w) { return w->well(); });
-        std::printf("%s  lines %2zu  workers well %2td of %zu\n", text.c_str(), answer.targets.size(), up, workers_.size());
-        std::fflush(stdout);
-      });
+      watcher_->ask(
+          "_" + day_.operations.back().name + "._tcp." + day_.origin, true, [this](const Answer& answer) {
+            std::map<std::string, double> weights;
+            double all = 0;
+            for (const auto& t : answer.targets)
+              for (const auto& line : roster_)
+                if (line.at == t.at) weights[line.zone] += t.weight, all += t.weight;
+            std::string text = fmt::format("{:5.1f} s  {:<12}", (loop_.now() - o_.start).seconds(), phase_);
+            for (const auto& zone : day_.zones)
+              text += fmt::format("  {} {:5.1f}%", zone, all > 0 ? 100 * weights[zone] / all : 0);
+            const auto up =
+                std::count_if(workers_.begin(), workers_.end(), [](const auto& w) { return w->well(); });
+            std::printf("%s  lines %2zu  workers well %2td of %zu\n", text.c_str(), answer.targets.size(), up,
+                        workers_.size());
+            std::fflush(stdout);
+          });
     loop_.after(Span::seconds(1), [this] { show(); });
   }
 
--- a/src/standins/resolver.cpp
+++ b/src/standins/resolver.cpp
@@ -21,7 +21,8 @@
 std::string question(const std::string& name, bool srv, std::uint16_t id) {
   ldns_rdf* owner = ldns_dname_new_frm_str(name.c_str());
   if (owner == nullptr) return {};
-  const Packet packet{ldns_pkt_query_new(owner, srv ? LDNS_RR_TYPE_SRV : LDNS_RR_TYPE_A, LDNS_RR_CLASS_IN, LDNS_RD)};
+  const Packet packet{
+      ldns_pkt_query_new(owner, srv ? LDNS_RR_TYPE_SRV : LDNS_RR_TYPE_A, LDNS_RR_CLASS_IN, LDNS_RD)};
   ldns_pkt_set_id(packet.get(), id);
   ldns_pkt_set_edns_udp_size(packet.get(), 1232);
   std::uint8_t* wire = nullptr;
@@ -55,7 +56,8 @@
   const ldns_rr_list* additional = ldns_pkt_additional(packet);
   for (std::size_t k = 0; k < ldns_rr_list_rr_count(additional); ++k) {
     const ldns_rr* rr = ldns_rr_list_rr(additional, k);
-    if (ldns_rr_get_type(rr) == LDNS_RR_TYPE_A) beside[name_of(ldns_rr_owner(rr))] = address_of(ldns_rr_rdf(rr, 0));
+    if (ldns_rr_get_type(rr) == LDNS_RR_TYPE_A)
+      beside[name_of(ldns_rr_owner(rr))] = address_of(ldns_rr_rdf(rr, 0));
   }
   std::uint32_t lifetime = 3600;
   for (std::size_t k = 0; k < ldns_rr_list_rr_count(records); ++k) {
@@ -70,7 +72,8 @@
       const auto it = beside.find(target);
       if (it == beside.end()) continue;  // this stand-in takes addresses from beside the records only
       Target t;
-      t.priority = ldns_rdf2native_int16(ldns_rr_rdf(rr, 0)), t.weight = ldns_rdf2native_int16(ldns_rr_rdf(rr, 1));
+      t.priority = ldns_rdf2native_int16(ldns_rr_rdf(rr, 0)),
+      t.weight = ldns_rdf2native_int16(ldns_rr_rdf(rr, 1));
       t.at = {it->second, ldns_rdf2native_int16(ldns_rr_rdf(rr, 2))};
       answer.targets.push_back(t);
     } else if (!srv && ldns_rr_get_type(rr) == LDNS_RR_TYPE_A) {
@@ -85,7 +88,11 @@
 
 Resolver::Resolver(net::Loop& loop, const Address& from, std::vector<Endpoint> servers, Span patience,
                    std::uint16_t port)
-    : loop_{loop}, from_{from}, servers_{std::move(servers)}, patience_{patience}, port_{port},
+    : loop_{loop},
+      from_{from},
+      servers_{std::move(servers)},
+      patience_{patience},
+      port_{port},
       fd_{net::udp_socket({from, 0})} {
   loop_.watch(fd_.get(), EPOLLIN, [this](std::uint32_t) { received(); });
 }
@@ -120,7 +127,8 @@
 
 void Resolver::received() {
   std::uint8_t data[4096];
-  for (ssize_t n = 0; (n = ::recv(fd_.get(), data, sizeof data, 0)) >= 0 || errno == ECONNREFUSED || errno == EINTR;)
+  for (ssize_t n = 0;
+       (n = ::recv(fd_.get(), data, sizeof data, 0)) >= 0 || errno == ECONNREFUSED || errno == EINTR;)
     if (n > 0) take(data, static_cast<std::size_t>(n));
 }
 
@@ -141,23 +149,25 @@
 }
 
 void Resolver::over_tcp() {
-  attempt_ = net::connect(loop_, servers_[(first_ + tried_) % servers_.size()], from_, [this](net::Fd fd, int) {
-    attempt_.reset();
-    if (!fd) return;
-    tcp_ = net::Connection::make(
-        loop_, std::move(fd), {},
-        [this](std::string_view in) -> std::size_t {
-          if (in.size() < 2) return 0;
-          const auto* bytes = reinterpret_cast<const std::uint8_t*>(in.data());
-          const std::size_t size = static_cast<std::size_t>(bytes[0]) << 8U | bytes[1];
-          if (in.size() < 2 + size) return 0;
-          take(bytes + 2, size);
-          return 2 + size;
-        },
-        [](const char*) {});
-    const std::string bytes = question(name_, srv_, id_);
-    tcp_->send(std::string{static_cast<char>(bytes.size() >> 8U), static_cast<char>(bytes.size())} + bytes);
-  });
+  attempt_ =
+      net::connect(loop_, servers_[(first_ + tried_) % servers_.size()], from_, [this](net::Fd fd, int) {
+        attempt_.reset();
+        if (!fd) return;
+        tcp_ = net::Connection::make(
+            loop_, std::move(fd), {},
+            [this](std::string_view in) -> std::size_t {
+              if (in.size() < 2) return 0;
+              const auto* bytes = reinterpret_cast<const std::uint8_t*>(in.data());
+              const std::size_t size = static_cast<std::size_t>(bytes[0]) << 8U | bytes[1];
+              if (in.size() < 2 + size) return 0;
+              take(bytes + 2, size);
+              return 2 + size;
+            },
+            [](const char*) {});
+        const std::string bytes = question(name_, srv_, id_);
+        tcp_->send(std::string{static_cast<char>(bytes.size() >> 8U), static_cast<char>(bytes.size())} +
+                   bytes);
+      });
 }
 
 void Resolver::end(Answer answer) {
--- a/src/standins/resolver.hpp
+++ b/src/standins/resolver.hpp
@@ -16,8 +16,8 @@
   unsigned priority = 0;
 };
 struct Answer {
-  bool answered = false;      // some server answered with sense
-  bool unavailable = false;   // it said that the service is not available: rate-limited
+  bool answered = false;     // some server answered with sense
+  bool unavailable = false;  // it said that the service is not available: rate-limited
   std::vector<Target> targets;
   Span lifetime;
 };
@@ -26,7 +26,8 @@
  public:
   using Done = std::function<void(Answer)>;
   // Asks `servers` in turn, each for `patience`. `port`: for addresses, which tell none.
-  Resolver(net::Loop& loop, const Address& from, std::vector<Endpoint> servers, Span patience, std::uint16_t port);
+  Resolver(net::Loop& loop, const Address& from, std::vector<Endpoint> servers, Span patience,
+           std::uint16_t port);
   ~Resolver();
   Resolver(const Resolver&) = delete;
   Resolver& operator=(const Resolver&) = delete;
--- a/src/standins/worker.cpp
+++ b/src/standins/worker.cpp
@@ -35,7 +35,9 @@
   boot_ = fmt::format("{}-{}-{}", s_.name, ++boots_, (started_ - Instant{}).micros());
   counts_.clear(), brought_.clear(), busy_log_.clear(), busy_ = 0;
   listen();
-  recorder_.write(loop_.now(), "start", {{"worker", s_.name}, {"at", s_.at.text()}, {"cold", boots_ > 1}, {"cores", s_.cores * s_.speed}});
+  recorder_.write(
+      loop_.now(), "start",
+      {{"worker", s_.name}, {"at", s_.at.text()}, {"cold", boots_ > 1}, {"cores", s_.cores * s_.speed}});
 }
 
 void Worker::listen() {
@@ -153,17 +155,17 @@
   job.work = op.work.seconds() * std::uniform_real_distribution<>{0.6, 1.4}(chance_);
   Counts& counts = counts_[{operation, job.source}];
   const bool draining = trouble_ == TroubleKind::drain && loop_.now() - drained_ > s_.drain_grace;
-  const bool refused = draining || trouble_ == TroubleKind::refuse ||
-                       queue_.size() >= static_cast<std::size_t>(s_.queue_most);
-  recorder_.write(loop_.now(), "arrived",
-                  {{"worker", s_.name}, {"id", job.id}, {"work", refused ? 0 : job.work}, {"refused", refused}});
+  const bool refused =
+      draining || trouble_ == TroubleKind::refuse || queue_.size() >= static_cast<std::size_t>(s_.queue_most);
+  recorder_.write(
+      loop_.now(), "arrived",
+      {{"worker", s_.name}, {"id", job.id}, {"work", refused ? 0 : job.work}, {"refused", refused}});
   if (refused) {
     ++counts.refused;
     return answer(job, 503, true);
   }
   ++counts.taken;
-  if (trouble_ == TroubleKind::errors &&
-      std::uniform_real_distribution<>{}(chance_) < trouble_size_) {
+  if (trouble_ == TroubleKind::errors && std::uniform_real_distribution<>{}(chance_) < trouble_size_) {
     ++counts.errored;
     return answer(job, 500);
   }
@@ -197,7 +199,8 @@
     if (trouble_ == TroubleKind::slow || trouble_ == TroubleKind::ageing) takes *= trouble_size_;
     if (job.operation >= 0)
       recorder_.write(loop_.now(), "began",
-                      {{"worker", s_.name}, {"id", job.id},
+                      {{"worker", s_.name},
+                       {"id", job.id},
                        {"operation", s_.operations[static_cast<std::size_t>(job.operation)].name}});
     running_[number] = std::move(job);
     timers_[number] = loop_.after(Span::seconds(takes), [this, number] { finish(number); });
@@ -231,17 +234,23 @@
   account();
   const auto& [from, was] = busy_log_.front();
   const double over = (loop_.now() - from).seconds();
-  const double util = over > 0.05 ? (busy_ - was) / over / s_.cores : static_cast<double>(running_.size()) / s_.cores;
-  nlohmann::json out{{"boot", boot_},
-                     {"uptime_s", (loop_.now() - started_).seconds() + (warm_at_ == started_ ? 1e6 : 0)},
-                     {"state", trouble_ == TroubleKind::drain ? "draining" : "ready"},
-                     {"util", std::min(1.0, util * (trouble_ == TroubleKind::false_reports ? trouble_size_ : 1))},
-                     {"queue", queue_.size()},
-                     {"counts", nlohmann::json::array()}};
+  const double util =
+      over > 0.05 ? (busy_ - was) / over / s_.cores : static_cast<double>(running_.size()) / s_.cores;
+  nlohmann::json out{
+      {"boot", boot_},
+      {"uptime_s", (loop_.now() - started_).seconds() + (warm_at_ == started_ ? 1e6 : 0)},
+      {"state", trouble_ == TroubleKind::drain ? "draining" : "ready"},
+      {"util", std::min(1.0, util * (trouble_ == TroubleKind::false_reports ? trouble_size_ : 1))},
+      {"queue", queue_.size()},
+      {"counts", nlohmann::json::array()}};
   for (const auto& [key, c] : counts_)
     out["counts"].push_back({{"operation", s_.operations[static_cast<std::size_t>(key.first)].name},
-                             {"source", key.second.text()}, {"taken", c.taken}, {"succeeded", c.succeeded},
-                             {"errored", c.errored}, {"refused", c.refused}, {"latency_s", c.latency}});
+                             {"source", key.second.text()},
+                             {"taken", c.taken},
+                             {"succeeded", c.succeeded},
+                             {"errored", c.errored},
+                             {"refused", c.refused},
+                             {"latency_s", c.latency}});
   return out.dump();
 }
 
--- a/src/standins/worker.hpp
+++ b/src/standins/worker.hpp
@@ -31,10 +31,10 @@
   Worker(const Worker&) = delete;
   Worker& operator=(const Worker&) = delete;
 
-  void crash();              // down, with resets
-  void start();              // up again, cold
+  void crash();                                 // down, with resets
+  void start();                                 // up again, cold
   void trouble(TroubleKind kind, double size);  // hang, errors, slow, silent, refuse, drain
-  void recover();            // the trouble is over; what hung is lost
+  void recover();                               // the trouble is over; what hung is lost
   [[nodiscard]] bool well() const { return up_ && !trouble_; }
   [[nodiscard]] const WorkerSettings& settings() const { return s_; }
 
@@ -53,13 +53,14 @@
   };
   struct Peer;
   void listen();
-  void request(const std::shared_ptr<net::Connection>& connection, const Address& from, const net::Request& request);
+  void request(const std::shared_ptr<net::Connection>& connection, const Address& from,
+               const net::Request& request);
   void invoke(const std::shared_ptr<net::Connection>& connection, const Address& from, int operation,
               const net::Request& request);
   void pump();
   void finish(std::uint64_t number);
   void answer(const Job& job, unsigned status, bool never_ran = false);
-  [[nodiscard]] std::string load() ;
+  [[nodiscard]] std::string load();
   [[nodiscard]] double warmth() const;
   void brought(double work);
   void account();
--- a/src/store/disk.cpp
+++ b/src/store/disk.cpp
@@ -137,6 +137,8 @@
 
 }  // namespace
 
-std::unique_ptr<Disk> open_folder(const std::string& folder, bool only_read) { return std::make_unique<Folder>(folder, only_read); }
+std::unique_ptr<Disk> open_folder(const std::string& folder, bool only_read) {
+  return std::make_unique<Folder>(folder, only_read);
+}
 
 }  // namespace gorsemount::store
--- a/src/store/keeper.cpp
+++ b/src/store/keeper.cpp
@@ -11,9 +11,10 @@
 
 // What a loss of power may cost: a second. Written and synced twice as often.
 const Span kWrite = Span::seconds(0.5);
-const Span kCheck = Span::seconds(60);           // between looks at the older generation
-constexpr std::uint64_t kCheckBytes = 4U << 20U; // a second, of those looks
-constexpr std::size_t kSlice = 256U << 10U;      // at a time: a few milliseconds of a usual disk, a sixteenth of the budget
+const Span kCheck = Span::seconds(60);            // between looks at the older generation
+constexpr std::uint64_t kCheckBytes = 4U << 20U;  // a second, of those looks
+constexpr std::size_t kSlice =
+    256U << 10U;  // at a time: a few milliseconds of a usual disk, a sixteenth of the budget
 // Of a core for all that is not a promise: what answers shares the machine.
 constexpr double kShare = 0.2;
 
@@ -21,9 +22,13 @@
 
 }  // namespace
 
-Keeper::Keeper(background::Background& background, std::unique_ptr<Disk> disk, StoreSettings settings, std::vector<recovery::Entry> first,
-               Read clocks, Say say)
-    : background_{background}, disk_{std::move(disk)}, s_{std::move(settings)}, clocks_{std::move(clocks)}, say_{std::move(say)} {
+Keeper::Keeper(background::Background& background, std::unique_ptr<Disk> disk, StoreSettings settings,
+               std::vector<recovery::Entry> first, Read clocks, Say say)
+    : background_{background},
+      disk_{std::move(disk)},
+      s_{std::move(settings)},
+      clocks_{std::move(clocks)},
+      say_{std::move(say)} {
   try {
     store_.emplace(*disk_, s_, clocks_(), first);
     ++counters_.snapshots, counters_.bytes = store_->bytes(), counters_.syncs = store_->syncs();
--- a/src/store/keeper.hpp
+++ b/src/store/keeper.hpp
@@ -1,6 +1,6 @@
-// Keeps a coordinator's facts on disk while it runs: the one who steps hands over facts and goes on; differences,
-// encoding, writing, syncing, snapshots and the checking of the older generation are background work, each a task of
-// its own. A disk that fails stops it: that is said once, and serving goes on.
+// Keeps a coordinator's facts on disk while it runs: the one who steps hands over facts and goes on;
+// differences, encoding, writing, syncing, snapshots and the checking of the older generation are background
+// work, each a task of its own. A disk that fails stops it: that is said once, and serving goes on.
 #pragma once
 
 #include <functional>
@@ -19,14 +19,16 @@
   using Read = std::function<recovery::Clocks()>;  // the clocks; called from background threads
   using Say = std::function<void(const std::string& event, const std::string& what)>;
   // `background` outlives it.
-  Keeper(background::Background& background, std::unique_ptr<Disk> disk, StoreSettings settings, std::vector<recovery::Entry> first, Read clocks, Say say);
+  Keeper(background::Background& background, std::unique_ptr<Disk> disk, StoreSettings settings,
+         std::vector<recovery::Entry> first, Read clocks, Say say);
   ~Keeper();  // what was handed over is written
   Keeper(const Keeper&) = delete;
   Keeper& operator=(const Keeper&) = delete;
 
   void keep(recovery::Facts facts);
   struct Counters {
-    std::uint64_t bytes = 0, syncs = 0, snapshots = 0, checked = 0;  // checked: whole looks at the older generation
+    std::uint64_t bytes = 0, syncs = 0, snapshots = 0,
+                  checked = 0;  // checked: whole looks at the older generation
     bool stopped = false;
   };
   [[nodiscard]] Counters counters() const;
@@ -45,7 +47,7 @@
   mutable std::mutex lock_;  // of waiting_ and counters_: never held while the disk works
   std::optional<recovery::Facts> waiting_;
   Counters counters_;
-  std::mutex store_lock_;    // of what follows: a write and a snapshot are never under way together
+  std::mutex store_lock_;  // of what follows: a write and a snapshot are never under way together
   std::optional<Store> store_;
   recovery::Knowledge known_;
   std::uint64_t written_ = 0;
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -15,11 +15,12 @@
 
 namespace {
 
-// magic u32 | schema u16 | kind u8 | mac u8 | length u32 | sequence u64 | wall i64 | mono i64 | payload | xxh3 u64 | [MAC 32]
+// magic u32 | schema u16 | kind u8 | mac u8 | length u32 | sequence u64 | wall i64 | mono i64 | payload |
+// xxh3 u64 | [MAC 32]
 constexpr std::uint32_t kMagic = 0x534d4f47;
 constexpr std::size_t kHead = 4 + 2 + 1 + 1 + 4 + 8 + 8 + 8, kSum = 8, kMac = 32;
 constexpr std::size_t kPayloadMost = 64U << 20U;
-constexpr std::size_t kBatch = 512;        // facts in a record of a snapshot: a torn write costs no more
+constexpr std::size_t kBatch = 512;  // facts in a record of a snapshot: a torn write costs no more
 constexpr std::size_t kGenerations = 2;
 constexpr std::size_t kReadAtOnce = 4U << 20U;  // where nobody waits
 enum Kind : std::uint8_t { identity = 1, facts = 2, snapshot_ends = 3, changes = 4 };
@@ -63,21 +64,28 @@
     r.schema = get<std::uint16_t>(left, 4), r.kind = get<std::uint8_t>(left, 6);
     const bool mac = get<std::uint8_t>(left, 7) != 0;
     const std::size_t length = get<std::uint32_t>(left, 8);
-    r.sequence = get<std::uint64_t>(left, 12), r.at.wall = get<std::int64_t>(left, 20), r.at.mono = get<std::int64_t>(left, 28);
+    r.sequence = get<std::uint64_t>(left, 12), r.at.wall = get<std::int64_t>(left, 20),
+    r.at.mono = get<std::int64_t>(left, 28);
     if (length > kPayloadMost) return bad("a record that announces " + std::to_string(length) + " bytes");
     r.size = kHead + length + kSum + (mac ? kMac : 0);
     short_ = left.size() < r.size;
     if (short_) return bad("cut off within a record");
-    if (s_->check && XXH3_64bits(left.data(), kHead + length) != get<std::uint64_t>(left, kHead + length)) return bad("wrong checksum");
-    if (r.schema > kSchema) return bad("schema " + std::to_string(r.schema) + "; this program reads up to " + std::to_string(kSchema));
+    if (s_->check && XXH3_64bits(left.data(), kHead + length) != get<std::uint64_t>(left, kHead + length))
+      return bad("wrong checksum");
+    if (r.schema > kSchema)
+      return bad("schema " + std::to_string(r.schema) + "; this program reads up to " +
+                 std::to_string(kSchema));
     if (r.schema + 1 < kSchema) return bad("schema " + std::to_string(r.schema) + " is too old");
-    if (s_->check && r.sequence != sequence_ + 1) return bad("record " + std::to_string(r.sequence) + " where " + std::to_string(sequence_ + 1) + " was due");
+    if (s_->check && r.sequence != sequence_ + 1)
+      return bad("record " + std::to_string(r.sequence) + " where " + std::to_string(sequence_ + 1) +
+                 " was due");
     if (s_->key) {
       if (!mac) return bad("no MAC, and a key is configured");
       std::string text{reinterpret_cast<const char*>(chain_.data()), chain_.size()};
       text.append(left.data(), kHead + length);
-      if (crypto_auth_hmacsha512256_verify(reinterpret_cast<const std::uint8_t*>(left.data() + kHead + length + kSum),
-                                           reinterpret_cast<const std::uint8_t*>(text.data()), text.size(), s_->key->data()) != 0)
+      if (crypto_auth_hmacsha512256_verify(
+              reinterpret_cast<const std::uint8_t*>(left.data() + kHead + length + kSum),
+              reinterpret_cast<const std::uint8_t*>(text.data()), text.size(), s_->key->data()) != 0)
         return bad("wrong MAC");
       std::memcpy(chain_.data(), left.data() + kHead + length + kSum, kMac);
     }
@@ -202,14 +210,16 @@
   if (s_.key) {
     std::string text{reinterpret_cast<const char*>(chain_.data()), chain_.size()};
     text += r;
-    crypto_auth_hmacsha512256(chain_.data(), reinterpret_cast<const std::uint8_t*>(text.data()), text.size(), s_.key->data());
+    crypto_auth_hmacsha512256(chain_.data(), reinterpret_cast<const std::uint8_t*>(text.data()), text.size(),
+                              s_.key->data());
   }
   put(r, sum);
   if (s_.key) r.append(reinterpret_cast<const char*>(chain_.data()), chain_.size());
   out += r;
 }
 
-Store::Store(Disk& disk, StoreSettings settings, const Clocks& now, const std::vector<Entry>& entries) : disk_{&disk}, s_{std::move(settings)} {
+Store::Store(Disk& disk, StoreSettings settings, const Clocks& now, const std::vector<Entry>& entries)
+    : disk_{&disk}, s_{std::move(settings)} {
   if (s_.key && sodium_init() < 0) throw DiskError{"libsodium can't start"};
   const auto all = generations(disk);
   generation_ = all.empty() ? 0 : all.front();
@@ -226,8 +236,10 @@
   record(bytes, identity, now, s_.who + std::string(1, '\0') + now.boot);
   for (std::size_t k = 0; k < entries.size(); k += kBatch)
     record(bytes, facts, now,
-           recovery::encode({entries.begin() + static_cast<std::ptrdiff_t>(k), entries.begin() + static_cast<std::ptrdiff_t>(std::min(entries.size(), k + kBatch))},
-                            Instant{} + Span::micros(now.mono)));
+           recovery::encode(
+               {entries.begin() + static_cast<std::ptrdiff_t>(k),
+                entries.begin() + static_cast<std::ptrdiff_t>(std::min(entries.size(), k + kBatch))},
+               Instant{} + Span::micros(now.mono)));
   record(bytes, snapshot_ends, now, {});
   disk_->create(fresh);
   disk_->append(fresh, bytes);
@@ -265,7 +277,8 @@
   bool done = false;
 };
 
-Verification::Verification(Disk& disk, const StoreSettings& settings, std::string file) : state_{std::make_unique<State>(disk, settings)} {
+Verification::Verification(Disk& disk, const StoreSettings& settings, std::string file)
+    : state_{std::make_unique<State>(disk, settings)} {
   state_->checked.file = std::move(file);
   state_->done = state_->checked.file.empty();
 }
@@ -292,7 +305,8 @@
     ++v.checked.records;
     v.checked.whole_snapshot = v.checked.whole_snapshot || r->kind == snapshot_ends;
     if (r->kind != facts && r->kind != changes) continue;
-    if (const auto entries = recovery::decode(r->payload, Instant{}); std::holds_alternative<std::string>(entries) && v.checked.fault.empty())
+    if (const auto entries = recovery::decode(r->payload, Instant{});
+        std::holds_alternative<std::string>(entries) && v.checked.fault.empty())
       v.checked.fault = "before byte " + std::to_string(v.walk.at()) + ": " + std::get<std::string>(entries);
   }
   v.checked.good = v.walk.at();
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -1,7 +1,7 @@
-// Facts on a disk: a log of changes behind a snapshot, in generations. A generation is `N.store`: its snapshot is
-// written to `N.new`, synced, renamed, the folder synced; changes follow behind it. Two generations are kept. What a
-// loss of power leaves is a prefix of what was written, and a record is taken only if its checksum, and with a key its
-// MAC over all before it, is right.
+// Facts on a disk: a log of changes behind a snapshot, in generations. A generation is `N.store`: its
+// snapshot is written to `N.new`, synced, renamed, the folder synced; changes follow behind it. Two
+// generations are kept. What a loss of power leaves is a prefix of what was written, and a record is taken
+// only if its checksum, and with a key its MAC over all before it, is right.
 #pragma once
 
 #include <array>
@@ -20,9 +20,10 @@
 using Key = std::array<std::uint8_t, 32>;
 
 struct StoreSettings {
-  std::string who;              // of whom the facts are; another's are not taken
+  std::string who;  // of whom the facts are; another's are not taken
   std::optional<Key> key;
-  std::size_t snapshot_after = 1U << 20U;  // bytes of changes behind a snapshot, or as many as it has itself if more
+  std::size_t snapshot_after =
+      1U << 20U;  // bytes of changes behind a snapshot, or as many as it has itself if more
   // For tests that must find the damage.
   bool sync = true, check = true;
 };
@@ -32,8 +33,8 @@
   std::optional<Instant> confirmed;      // all of it held then; absent: nobody can tell, it is hints
   recovery::Age age;
   std::uint64_t generation = 0;
-  std::string blank;                     // why there is nothing; empty: there is something
-  std::vector<std::string> faults;       // what was passed over, with file and place
+  std::string blank;                // why there is nothing; empty: there is something
+  std::vector<std::string> faults;  // what was passed over, with file and place
 };
 
 // `now`: the reader's clocks; its Instants count in `now.mono`.
@@ -42,7 +43,8 @@
 class Store {
  public:
   // Begins a new generation from what is given. Throws DiskError.
-  Store(Disk& disk, StoreSettings settings, const recovery::Clocks& now, const std::vector<recovery::Entry>& entries);
+  Store(Disk& disk, StoreSettings settings, const recovery::Clocks& now,
+        const std::vector<recovery::Entry>& entries);
 
   // What changed, and that the rest still holds. Throws DiskError; the store is then of no more use.
   void write(const recovery::Clocks& now, const std::vector<recovery::Entry>& changes);
@@ -71,7 +73,8 @@
 };
 [[nodiscard]] std::vector<Checked> verify(Disk& disk, const StoreSettings& settings);
 
-// The same of one file, a slice at a time, in memory that does not grow with the file but with its largest record.
+// The same of one file, a slice at a time, in memory that does not grow with the file but with its largest
+// record.
 class Verification {
  public:
   // `file` empty: nothing is to be done.
--- a/src/streams/gate.cpp
+++ b/src/streams/gate.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr std::size_t kDiscardMost = 256U << 10U;        // read from one that leaves, so that it sees why
+constexpr std::size_t kDiscardMost = 256U << 10U;  // read from one that leaves, so that it sees why
 const Span kLeaveWithin = Span::seconds(0.3);
-constexpr std::size_t kReasonsMost = 64;                 // kept apart in the counts; the rest together
-constexpr std::size_t kCollectorsMost = 2;               // of a zone: the one in use, and one whose end was not seen
+constexpr std::size_t kReasonsMost = 64;    // kept apart in the counts; the rest together
+constexpr std::size_t kCollectorsMost = 2;  // of a zone: the one in use, and one whose end was not seen
 
 void count(std::map<std::string, std::uint64_t>& by_reason, std::string reason) {
   if (by_reason.size() >= kReasonsMost && !by_reason.contains(reason)) reason = "other";
@@ -22,7 +22,8 @@
 
 Gate::Gate(net::Loop& loop, const Endpoint& at, Limits limits, Callbacks callbacks)
     : loop_{loop}, limits_{limits}, callbacks_{std::move(callbacks)} {
-  listener_ = std::make_unique<net::Listener>(loop_, at, [this](net::Fd fd, const Endpoint&) { accept(std::move(fd)); });
+  listener_ = std::make_unique<net::Listener>(loop_, at,
+                                              [this](net::Fd fd, const Endpoint&) { accept(std::move(fd)); });
 }
 
 Gate::~Gate() {
@@ -56,7 +57,8 @@
   if (const auto done = std::exchange(done_, {})) done();
 }
 
-// Reads what has come, since a close with input unread is a reset that eats what was written; then ends its own side.
+// Reads what has come, since a close with input unread is a reset that eats what was written; then ends its
+// own side.
 void Gate::close_peer(StreamId id) {
   const auto find = [&] { return peers_.find(id); };
   auto it = find();
@@ -78,11 +80,14 @@
   Peer& peer = peers_[id];
   pending_.insert(id);
   peer.deadline = loop_.after(limits_.joins_within, [this, id] { refuse(id, "no join in time"); });
-  // A quiet stream is not a dead one, so nothing here closes for quiet; the deadline bounds pending connections.
+  // A quiet stream is not a dead one, so nothing here closes for quiet; the deadline bounds pending
+  // connections.
   peer.connection = net::Connection::make(
       loop_, std::move(fd), {limits_.half_message + (16U << 10U), limits_.unread, Span{}, true},
-      [this, id](std::string_view bytes) { return data(id, bytes); }, [this, id](const char* why) { closed(id, why); });
-  // Its join is mostly here already: read it before a flood behind it can make it the oldest pending connection.
+      [this, id](std::string_view bytes) { return data(id, bytes); },
+      [this, id](const char* why) { closed(id, why); });
+  // Its join is mostly here already: read it before a flood behind it can make it the oldest pending
+  // connection.
   const auto connection = peer.connection;
   connection->read_now();
 }
@@ -192,7 +197,9 @@
   if (stream) callbacks_.left(id);
 }
 
-void Gate::malformed(const std::string& kind, const std::string& why) { count(counts_.malformed, kind + ": " + why); }
+void Gate::malformed(const std::string& kind, const std::string& why) {
+  count(counts_.malformed, kind + ": " + why);
+}
 
 void Gate::closed(StreamId id, const char* why) {
   const auto it = peers_.find(id);
--- a/src/streams/gate.hpp
+++ b/src/streams/gate.hpp
@@ -1,6 +1,6 @@
-// The coordinator's address: who connects is a pending connection until a valid join makes it a proxy's stream or a
-// collector. It reads lines, keeps pending connections within bounds of time, bytes and descriptors, and decides nothing
-// else.
+// The coordinator's address: who connects is a pending connection until a valid join makes it a proxy's
+// stream or a collector. It reads lines, keeps pending connections within bounds of time, bytes and
+// descriptors, and decides nothing else.
 #pragma once
 
 #include <array>
@@ -20,11 +20,11 @@
 class Gate {
  public:
   struct Limits {
-    std::size_t peers = 1024;                 // connections of all kinds: what the descriptors allow
-    std::size_t pending = 64;                 // of them not yet joined, at most; beyond, the oldest goes
-    Span joins_within = Span::seconds(1.2);   // a second is owed, and something for a busy moment
-    std::size_t half_message = 4096;          // of a pending connection: no join is longer
-    std::size_t unread = 128U << 10U;         // what a peer may leave unread, as on the platform
+    std::size_t peers = 1024;                // connections of all kinds: what the descriptors allow
+    std::size_t pending = 64;                // of them not yet joined, at most; beyond, the oldest goes
+    Span joins_within = Span::seconds(1.2);  // a second is owed, and something for a busy moment
+    std::size_t half_message = 4096;         // of a pending connection: no join is longer
+    std::size_t unread = 128U << 10U;        // what a peer may leave unread, as on the platform
   };
   // Who says what a message is worth. Null: it was taken; else why it is refused or skipped.
   struct Callbacks {
@@ -36,7 +36,7 @@
   struct Counts {
     std::uint64_t accepted = 0, refused = 0, streams = 0, protocol_errors = 0, not_reading = 0, pings = 0;
     std::uint64_t reports = 0, bytes_out = 0, messages_out = 0;
-    std::map<std::string, std::uint64_t> malformed;     // by kind and reason
+    std::map<std::string, std::uint64_t> malformed;  // by kind and reason
     std::map<std::string, std::uint64_t> refusals;   // by reason
   };
 
@@ -45,8 +45,8 @@
   Gate(const Gate&) = delete;
   Gate& operator=(const Gate&) = delete;
 
-  // Ends in order: takes no more connections, answers what has come, refuses whoever has not joined, writes what
-  // waits, and closes each side when its peer has, or when `within` is over. Then calls `done`, once.
+  // Ends in order: takes no more connections, answers what has come, refuses whoever has not joined, writes
+  // what waits, and closes each side when its peer has, or when `within` is over. Then calls `done`, once.
   void shut_down(Span within, std::function<void()> done);
   // One more join would take the last places, which are for pending connections and for successors.
   [[nodiscard]] bool full() const { return joined() + kPendingLeast >= limits_.peers; }
@@ -87,7 +87,7 @@
   Limits limits_;
   Callbacks callbacks_;
   std::map<StreamId, Peer> peers_;
-  std::set<StreamId> pending_;  // and those that leave; oldest first
+  std::set<StreamId> pending_;                               // and those that leave; oldest first
   std::map<std::string, std::vector<StreamId>> collectors_;  // by zone, oldest first
   StreamId last_ = 0;
   bool shutting_down_ = false;
--- a/src/streams/instance.cpp
+++ b/src/streams/instance.cpp
@@ -21,7 +21,8 @@
       forgets_{settings.removal_binds},
       unix_zero_{unix_zero},
       gather_{gather},
-      tables_{labels_.operations, [this](BackendId id) -> std::string_view { return backends_.at(id).name; }} {}
+      tables_{labels_.operations,
+              [this](BackendId id) -> std::string_view { return backends_.at(id).name; }} {}
 
 BackendId Instance::id_of(const std::string& name) {
   const auto [it, fresh] = ids_.try_emplace(name);
@@ -128,7 +129,8 @@
     if (from) return "not a stream's to tell";
     const auto id = ids_.find(heard->host);
     if (id == ids_.end()) return "no such backend";
-    gather(now, BackendReport{*where, id->second, heard->tries, heard->errored, heard->mean_latency, heard->over, heard->busy});
+    gather(now, BackendReport{*where, id->second, heard->tries, heard->errored, heard->mean_latency,
+                              heard->over, heard->busy});
     auto& zone = heard_[backends_.at(id->second).zone];
     zone.tries += heard->tries, zone.errored += heard->errored;
     zone.waited += (heard->tries - heard->errored) * heard->mean_latency.seconds();
@@ -142,11 +144,13 @@
     const auto it = std::find(names.begin(), names.end(), usage->operation);
     if (it == names.end()) return "no such operation";
     if (const char* why = stands_for(usage->proxy)) return why;
-    gather(now, DemandReport{ProxyId{usage->proxy}, OperationId{static_cast<std::uint8_t>(it - names.begin())}, usage->arrived,
-                             usage->over});
+    gather(now,
+           DemandReport{ProxyId{usage->proxy}, OperationId{static_cast<std::uint8_t>(it - names.begin())},
+                        usage->arrived, usage->over});
     return nullptr;
   }
-  if (const auto* applied = std::get_if<Applied>(&message)) return stands_for(applied->proxy);  // the module sends no marks
+  if (const auto* applied = std::get_if<Applied>(&message))
+    return stands_for(applied->proxy);  // the module sends no marks
   return "not known here";
 }
 
@@ -178,12 +182,13 @@
   return when ? std::min(*when, timers_.begin()->first) : timers_.begin()->first;
 }
 
-// Names grow by lists alone. Where the loss from a list does not bind, the module may come back to a backend that
-// it has in no table at the time, and its name must stand.
+// Names grow by lists alone. Where the loss from a list does not bind, the module may come back to a backend
+// that it has in no table at the time, and its name must stand.
 void Instance::forget() {
   if (!forgets_) return;
   for (auto it = backends_.begin(); it != backends_.end();) {
-    const bool old = it->second.unlisted && now_ - *it->second.unlisted > kForget && !tables_.holds(it->first);
+    const bool old =
+        it->second.unlisted && now_ - *it->second.unlisted > kForget && !tables_.holds(it->first);
     if (old) ids_.erase(it->second.name);
     it = old ? backends_.erase(it) : std::next(it);
   }
@@ -197,25 +202,31 @@
     b.ready += backend.availability == Availability::ready ? 1 : 0;
     b.draining += backend.availability == Availability::draining ? 1 : 0;
   }
-  const auto append = [](std::string& text, const std::string& what) { text += (text.empty() ? "" : " ") + what; };
+  const auto append = [](std::string& text, const std::string& what) {
+    text += (text.empty() ? "" : " ") + what;
+  };
   const auto share = [](const Memory::Rung& r) {
-    return ":" + std::to_string(static_cast<int>(std::lround(100 * r.share))) + (r.relapses > 0 ? "r" + std::to_string(r.relapses) : "");
+    return ":" + std::to_string(static_cast<int>(std::lround(100 * r.share))) +
+           (r.relapses > 0 ? "r" + std::to_string(r.relapses) : "");
   };
   const auto name = [this](ZoneId zone) { return labels_.zones.at(zone.value); };
   const Memory memory = policy_.remember(now_);
   for (const auto& [zone, rung] : memory.zones) append(b.held_back, name(zone) + share(rung));
-  for (const auto& [link, rung] : memory.links) append(b.held_back, name(link.first) + ">" + name(link.second) + share(rung));
+  for (const auto& [link, rung] : memory.links)
+    append(b.held_back, name(link.first) + ">" + name(link.second) + share(rung));
   for (const auto& [id, rung] : memory.backends)
-    if (const auto it = backends_.find(id); it != backends_.end()) append(b.held_back, it->second.name + share(rung));
+    if (const auto it = backends_.find(id); it != backends_.end())
+      append(b.held_back, it->second.name + share(rung));
   for (const auto& [id, counts] : std::exchange(errored_, {}))
     if (const auto it = backends_.find(id); it != backends_.end())
-      append(b.failing, it->second.name + ":" + std::to_string(counts.first) + "/" + std::to_string(counts.second));
+      append(b.failing,
+             it->second.name + ":" + std::to_string(counts.first) + "/" + std::to_string(counts.second));
   for (const auto& [number, table] : tables_.all()) {
     b.lines += table.lines.size();
     if (!b.levels.empty()) continue;
     for (const auto& [operation, level] : table.levels)
-      b.levels += (b.levels.empty() ? "" : " ") + labels_.operations.at(operation.value) + ":" + std::to_string(level.level) +
-                  "/" + std::to_string(static_cast<int>(level.tries));
+      b.levels += (b.levels.empty() ? "" : " ") + labels_.operations.at(operation.value) + ":" +
+                  std::to_string(level.level) + "/" + std::to_string(static_cast<int>(level.tries));
   }
   return b;
 }
--- a/src/streams/instance.hpp
+++ b/src/streams/instance.hpp
@@ -1,5 +1,6 @@
-// One coordinator without its sockets and clock: what comes in by streams and discovery becomes the module's events,
-// its orders become messages to streams. Stepped by the caller; what came in since the last step is one batch.
+// One coordinator without its sockets and clock: what comes in by streams and discovery becomes the module's
+// events, its orders become messages to streams. Stepped by the caller; what came in since the last step is
+// one batch.
 #pragma once
 
 #include <map>
@@ -28,13 +29,13 @@
     bool follow = false;  // discovery is to be asked for changes
   };
   struct JoinResult {
-    const char* refused = nullptr;       // why; null: it has joined
-    std::optional<StreamId> succeeds;    // the proxy's stream before this one, which is of no more use
+    const char* refused = nullptr;     // why; null: it has joined
+    std::optional<StreamId> succeeds;  // the proxy's stream before this one, which is of no more use
   };
 
-  // The simulator hands on the lines of one report round together, and the module reads them as one picture of the
-  // fleet. On sockets they come over some milliseconds; so they wait until none has come for `quiet`, and no longer
-  // than `most`. Joins, leavings and the list never wait.
+  // The simulator hands on the lines of one report round together, and the module reads them as one picture
+  // of the fleet. On sockets they come over some milliseconds; so they wait until none has come for `quiet`,
+  // and no longer than `most`. Joins, leavings and the list never wait.
   struct Gather {
     Span quiet = Span::seconds(0.005), most = Span::seconds(0.04);
   };
