--- a/src/coordinator/state_transfer.cpp
+++ b/src/coordinator/state_transfer.cpp
@@ -111,7 +111,7 @@
       all[{FactKind::group_seen, proxy_name(proxy)}].times["seen"] =
           Instant{} + Span::micros(steps * kSeenNews.micros());
     }
-  for (const auto& [proxy, part] : retries_.parts())
+  for (const auto& [proxy, part] : retries_.allocations())
     if (std::abs(part - s_.retry_share) > 1e-9)
       all[{FactKind::further_tries, proxy_name(proxy)}].figures["part"] = part;
   for (const auto& [proxy, version] : sent_)
@@ -217,7 +217,7 @@
         break;
       case FactKind::further_tries:
         if (const auto proxy = proxy_at(name); proxy && is_forwarder(*proxy))
-          retries_.recall(*proxy, figure(f, "part", s_.retry_share));
+          retries_.restore(*proxy, figure(f, "part", s_.retry_share));
         break;
       case FactKind::sent_table:
         sent[name] = static_cast<std::uint64_t>(figure(f, "version", 0));
