--- a/src/coordinator/coordinator.cpp
+++ b/src/coordinator/coordinator.cpp
@@ -41,16 +41,16 @@
   gorsemount::Settings m;
   for (const auto& op : s.operations)
     m.operations.push_back({op.effect, op.latency_objective, op.billed_value});
-  m.level_kind = s.levels ? LevelKind::share : LevelKind::off;
+  m.admission_mode = s.levels ? AdmissionMode::share : AdmissionMode::off;
   m.report_every = s.report_every;
-  m.intake = 1e9;  // report lines never wait here: evidence is summed up by the round
+  m.max_report_rate = 1e9;  // report lines never wait here: evidence is summed up by the round
   m.backlog = s.backlog, m.push_rate = s.lines_per_second, m.per_message = s.per_message;
   m.messages_most = s.messages_most, m.messages_window = s.messages_window;
   // Every group may ask every coordinator, so each has them all.
   m.proxies = static_cast<double>(s.groups.size() + s.forwarders.size()) * s.coordinators,
   m.coordinators = s.coordinators;
   m.keepalive = s.keepalive;
-  m.ask_within = s.unserved;
+  m.subscribe_timeout = s.unserved;
   m.drain_grace = s.drain_grace, m.removal_binds = s.removal_binds;
   m.cold_from = s.cold_from, m.cold_for = s.cold_for, m.tip_multiple = s.tip_multiple;
   return m;
@@ -60,8 +60,8 @@
   auto policy = std::make_shared<Policy>(module_settings(settings), settings.seed);
   Decide decide{
       [policy](Instant now, const std::vector<Event>& events) { return policy->handle(now, events); }};
-  decide.remember = [policy](Instant now) { return policy->remember(now); };
-  decide.recall = [policy](Instant now, const Memory& memory) { policy->recall(now, memory); };
+  decide.remember = [policy](Instant now) { return policy->snapshot(now); };
+  decide.recall = [policy](Instant now, const PolicySnapshot& memory) { policy->restore(now, memory); };
   return decide;
 }
 
@@ -360,13 +360,13 @@
 
 // Tells the module what changed between what it was last told of the list and what is known now.
 void Coordinator::tell_list() {
-  Listed listed{listed_once_ ? ListScope::changes : ListScope::whole, {}};
+  BackendListUpdate listed{listed_once_ ? ListScope::delta : ListScope::full, {}};
   touched_.insert(untold_.begin(), untold_.end());
   if (person_next_ && now_ >= *person_next_) {
     for (const auto& [id, row] : rows_) touched_.insert(id);
     person_next_ = persons_.next_change(now_);
   }
-  Memory memory;
+  PolicySnapshot memory;
   for (const auto id : std::exchange(touched_, {})) {
     Row& row = rows_.at(id);
     const bool back = row.told && row.told->availability == Availability::gone;  // told anew, as if unknown
@@ -380,7 +380,7 @@
     untold_.erase(id);
     recall_backend(id, row, memory);
     const auto past = past_.find(row.entry.name);
-    Listed::Entry entry{id, row.entry.zone, row.entry.availability, row.entry.weight, {}};
+    BackendListUpdate::Entry entry{id, row.entry.zone, row.entry.availability, row.entry.weight, {}};
     if (!row.listed || (absence_counts_ && absent_.contains(id))) {
       entry.availability = Availability::gone;
     } else if (entry.availability == Availability::ready &&
@@ -431,7 +431,7 @@
   std::set<TableId> changed;
   counters_.orders += orders.size();
   for (const auto& order : orders) {
-    if (const auto* line = std::get_if<SetLine>(&order)) {
+    if (const auto* line = std::get_if<SetWeight>(&order)) {
       auto& lines = tables_[line->table].lines;
       if (line->weight > 0) {
         lines[line->backend] = line->weight;
@@ -439,10 +439,10 @@
         lines.erase(line->backend);
       }
       changed.insert(line->table);
-    } else if (const auto* level = std::get_if<SetLevel>(&order)) {
+    } else if (const auto* level = std::get_if<SetAdmission>(&order)) {
       auto& levels = tables_[level->table].levels;
       levels.resize(s_.operations.size());
-      levels.at(level->operation.value) = {level->tries, level->level};
+      levels.at(level->operation.value) = {level->retries, level->limit};
       changed.insert(level->table);
     } else if (const auto* bind = std::get_if<BindProxy>(&order)) {
       if (!attendance_.present().contains(bind->proxy)) continue;
@@ -452,9 +452,9 @@
         versions_[bind->table] = std::make_shared<const Table>(tables_[bind->table]);
         changed.insert(bind->table);
       }
-    } else if (const auto* wake = std::get_if<WakeMe>(&order)) {
+    } else if (const auto* wake = std::get_if<SetTimer>(&order)) {
       timers_.emplace(now_ + wake->after, wake->tag);
-    }  // FollowList: the roster is always followed
+    }  // SubscribeToList: the roster is always followed
   }
   frozen_.insert(changed.begin(), changed.end());
   if (hold_) return;
@@ -520,7 +520,7 @@
     if (k < table.levels.size()) part.level = table.levels[k];
     part.level.tries = limits::allowed(s_.operations[k].effect, part.level.tries);
     // Between two that lead it nobody can tell what is still being tried: no further tries till that is over.
-    if (care_.contains(forwarder)) part.level.tries = FurtherTries::none;
+    if (care_.contains(forwarder)) part.level.tries = RetryPolicy::none;
     if (const auto it = parts_.find({forwarder, op_at(k)}); it != parts_.end()) part.rate = it->second;
     wanted->parts.push_back(std::move(part));
   }
@@ -727,10 +727,10 @@
     if (spill_) decide_spill(reports);
     // Nor are its processors, or those of what a person has lowered, idle ones that the fleet could use.
     for (auto& event : reports)
-      if (auto* r = std::get_if<BackendReport>(&event); r != nullptr && r->busy)
+      if (auto* r = std::get_if<BackendReport>(&event); r != nullptr && r->utilization)
         if (const auto row = rows_.find(r->backend);
             row != rows_.end() && row->second.told && lowered(row->second))
-          r->busy.reset();
+          r->utilization.reset();
     for (auto& event : reports)
       if (const auto* d = std::get_if<DemandReport>(&event);
           d == nullptr || attendance_.present().contains(d->proxy))
--- a/src/coordinator/coordinator.hpp
+++ b/src/coordinator/coordinator.hpp
@@ -33,8 +33,8 @@
   explicit operator bool() const { return static_cast<bool>(handle); }
 
   Handle handle;
-  std::function<Memory(Instant)> remember;
-  std::function<void(Instant, const Memory&)> recall;
+  std::function<PolicySnapshot(Instant)> remember;
+  std::function<void(Instant, const PolicySnapshot&)> recall;
 };
 
 // The module's settings, worked out from ours.
@@ -101,9 +101,9 @@
   struct Row {
     RosterEntry entry;
     Instant first_seen;
-    bool listed = true;                 // in the newest roster
-    std::optional<Listed::Entry> told;  // what the module knows
-    Instant learned;                    // when it was last known to drain, to be gone or to start anew
+    bool listed = true;                            // in the newest roster
+    std::optional<BackendListUpdate::Entry> told;  // what the module knows
+    Instant learned;  // when it was last known to drain, to be gone or to start anew
     bool counts(const Instant made, const bool removal_binds) const {
       if (!told) return false;
       if (told->availability == Availability::draining) return false;
@@ -126,7 +126,7 @@
   void absorb(const Recalled& e);
   void absorb(const GroupLed& e);
   void absorb(const Followed& e);
-  void recall_backend(BackendId id, Row& row, Memory& memory);
+  void recall_backend(BackendId id, Row& row, PolicySnapshot& memory);
   void end_care();
   void decide_spill(const std::vector<Event>& reports);
   void share_cuts();
--- a/src/coordinator/groups.cpp
+++ b/src/coordinator/groups.cpp
@@ -65,8 +65,8 @@
 void Attendance::arrived(const std::vector<Event>& reports) {
   std::map<ProxyId, double> now;
   for (const auto& event : reports)
-    if (const auto* d = std::get_if<DemandReport>(&event); d != nullptr && d->over > Span{})
-      now[d->proxy] += d->arrived / d->over.seconds();
+    if (const auto* d = std::get_if<DemandReport>(&event); d != nullptr && d->interval > Span{})
+      now[d->proxy] += d->arrived / d->interval.seconds();
   for (const auto& [group, rate] : now) {
     auto& log = rates_[group];
     log.push_back(rate);
--- a/src/coordinator/remember.cpp
+++ b/src/coordinator/remember.cpp
@@ -24,13 +24,13 @@
 // be idle.
 const Span kSeenNews = Span::seconds(2.5);
 
-Fact of_rung(const Memory::Rung& rung, Instant now) {
+Fact of_rung(const PolicySnapshot::ShareState& rung, Instant now) {
   Fact f;
   f.figures = {{"share", rung.share},
-               {"falling", rung.falling ? 1 : 0},
-               {"eased", rung.eased ? 1 : 0},
-               {"relapses", rung.relapses}};
-  f.times = {{"next", now + rung.next_in}, {"changed", now - rung.changed_ago}};
+               {"falling", rung.reducing ? 1 : 0},
+               {"eased", rung.was_slow ? 1 : 0},
+               {"relapses", rung.failed_trials}};
+  f.times = {{"next", now + rung.next_step_in}, {"changed", now - rung.since_change}};
   return f;
 }
 
@@ -44,15 +44,15 @@
 }
 
 // Out of range is what no ladder can be; empty then.
-std::optional<Memory::Rung> rung_of(const Fact& f, Instant now) {
-  Memory::Rung rung;
-  rung.share = figure(f, "share", -1), rung.falling = figure(f, "falling", 0) > 0,
-  rung.eased = figure(f, "eased", 0) > 0;
+std::optional<PolicySnapshot::ShareState> rung_of(const Fact& f, Instant now) {
+  PolicySnapshot::ShareState rung;
+  rung.share = figure(f, "share", -1), rung.reducing = figure(f, "falling", 0) > 0,
+  rung.was_slow = figure(f, "eased", 0) > 0;
   const double relapses = figure(f, "relapses", 0);
   if (!(rung.share >= 0 && rung.share <= 1) || !(relapses >= 0 && relapses <= 1000)) return {};
-  rung.relapses = static_cast<int>(relapses);
-  rung.next_in = time_of(f, "next").value_or(now) - now,
-  rung.changed_ago = now - time_of(f, "changed").value_or(now);
+  rung.failed_trials = static_cast<int>(relapses);
+  rung.next_step_in = time_of(f, "next").value_or(now) - now,
+  rung.since_change = now - time_of(f, "changed").value_or(now);
   return rung;
 }
 
@@ -70,7 +70,7 @@
     return f;
   };
   if (decide_.remember) {
-    const Memory m = decide_.remember(now_);
+    const PolicySnapshot m = decide_.remember(now_);
     for (const auto& [zone, rung] : m.zones)
       if (zone.value < s_.zones.size()) all[{Kind::zone_ladder, s_.zones[zone.value]}] = of_rung(rung, now_);
     for (const auto& [key, rung] : m.links)
@@ -80,8 +80,9 @@
     for (const auto& [id, rung] : m.backends)
       if (rows_.contains(id)) all[{Kind::backend_ladder, name_at(id)}] = of_machine(id, of_rung(rung, now_));
     Fact carried;
-    for (std::size_t k = 0; k < m.able.size(); ++k) carried.figures[std::to_string(k)] = m.able[k];
-    if (!m.able.empty()) all[{Kind::carried, "fleet"}] = carried;
+    for (std::size_t k = 0; k < m.capacity_samples.size(); ++k)
+      carried.figures[std::to_string(k)] = m.capacity_samples[k];
+    if (!m.capacity_samples.empty()) all[{Kind::carried, "fleet"}] = carried;
   }
   for (const auto& [id, row] : rows_) {
     if (!row.told) continue;
@@ -151,13 +152,13 @@
 bool Coordinator::zone_moves() const {
   if (person_next_ && !persons_.zones().empty()) return true;
   if (!decide_.remember) return false;
-  const Memory m = decide_.remember(now_);
+  const PolicySnapshot m = decide_.remember(now_);
   return std::any_of(m.zones.begin(), m.zones.end(),
-                     [](const auto& row) { return row.second.falling || row.second.share < 1; });
+                     [](const auto& row) { return row.second.reducing || row.second.share < 1; });
 }
 
 void Coordinator::absorb(const Recalled& e) {
-  Memory memory;
+  PolicySnapshot memory;
   std::map<std::string, std::uint64_t> sent, held;
   const auto zone_at = [&](const std::string& name) -> std::optional<ZoneId> {
     const auto it = std::find(s_.zones.begin(), s_.zones.end(), name);
@@ -205,7 +206,7 @@
         break;
       case Kind::carried:
         for (const auto& [place, able] : f.figures)
-          if (able > 0) memory.able.push_back(able);
+          if (able > 0) memory.capacity_samples.push_back(able);
         break;
       case Kind::usual_rate:
         if (const auto proxy = proxy_at(name))
@@ -255,7 +256,7 @@
   for (const auto& [name, version] : sent)
     if (const auto proxy = proxy_at(name))
       half_sent_[*proxy] = !held.contains(name) || held.at(name) != version;
-  if (decide_.recall && (!memory.zones.empty() || !memory.links.empty() || !memory.able.empty()))
+  if (decide_.recall && (!memory.zones.empty() || !memory.links.empty() || !memory.capacity_samples.empty()))
     decide_.recall(now_, memory);
   if (persons) person_next_ = persons_.next_change(now_);
   for (const auto& [id, row] : rows_)
@@ -264,7 +265,7 @@
 
 // What was remembered of a name counts for the machine that it was remembered of: its place, and its start
 // where both are known.
-void Coordinator::recall_backend(BackendId id, Row& row, Memory& memory) {
+void Coordinator::recall_backend(BackendId id, Row& row, PolicySnapshot& memory) {
   const auto it = past_.find(row.entry.name);
   if (it == past_.end()) return;
   Past& past = it->second;
@@ -348,7 +349,7 @@
   for (const auto& [name, weight] : e.lines)
     if (const auto id = id_of(name); id && weight > 0) table.lines[*id] = weight;
   for (const auto& [tries, level] : e.levels)
-    table.levels.push_back({static_cast<FurtherTries>(std::clamp(tries, 0, 3)), std::clamp(level, 0.0, 1.0)});
+    table.levels.push_back({static_cast<RetryPolicy>(std::clamp(tries, 0, 3)), std::clamp(level, 0.0, 1.0)});
   if (table.lines.empty()) return;
   TablePtr& was = followed_[e.group];
   // Said anew, it counts for a backend that started anew, once its leader must have heard of that too.
--- a/src/coordinator/types.hpp
+++ b/src/coordinator/types.hpp
@@ -186,7 +186,7 @@
   bool operator==(const Line&) const = default;
 };
 struct Level {
-  FurtherTries tries = FurtherTries::after_proof;
+  RetryPolicy tries = RetryPolicy::if_unprocessed;
   double level = 1;
   bool operator==(const Level&) const = default;
 };
--- a/src/coordinator/zones.cpp
+++ b/src/coordinator/zones.cpp
@@ -46,12 +46,12 @@
     classes.push_back({op.billed_value, op.latency_objective.seconds(), std::vector<double>(zones, 0)});
   for (const auto& event : reports)
     if (const auto* d = std::get_if<DemandReport>(&event);
-        d != nullptr && d->operation.value < classes.size() && d->over > Span{}) {
+        d != nullptr && d->operation.value < classes.size() && d->interval > Span{}) {
       const bool front = is_forwarder(d->proxy);
       const std::size_t place = front ? d->proxy.value - kFirstForwarder : d->proxy.value;
       if (place >= (front ? s_.forwarders.size() : s_.groups.size())) continue;
       const ZoneId zone = front ? s_.forwarders[place].zone : s_.groups[place].zone;
-      const double rate = d->arrived / d->over.seconds();
+      const double rate = d->arrived / d->interval.seconds();
       classes[d->operation.value].demand[zone.value] += rate;
       mean_cost += rate * classes[d->operation.value].cost, all += rate;
     }
@@ -69,16 +69,16 @@
   // they tell only whose part of it came back.
   double came_back = 0;
   for (const auto& event : reports)
-    if (const auto* r = std::get_if<BackendReport>(&event); r != nullptr && r->over > Span{})
-      came_back += (r->tries - r->errored) / r->over.seconds();
+    if (const auto* r = std::get_if<BackendReport>(&event); r != nullptr && r->interval > Span{})
+      came_back += (r->tries - r->errored) / r->interval.seconds();
   for (const auto& event : reports)
     if (const auto* r = std::get_if<BackendReport>(&event);
-        r != nullptr && r->over > Span{} && came_back > 0) {
+        r != nullptr && r->interval > Span{} && came_back > 0) {
       const auto row = rows_.find(r->backend);
       if (row == rows_.end()) continue;
       const std::size_t z = row->second.entry.zone.value;
-      now[z].carried += (r->tries - r->errored) / r->over.seconds() / came_back * all * mean_cost;
-      if (r->busy) busy[z].first += *r->busy, busy[z].second += 1;
+      now[z].carried += (r->tries - r->errored) / r->interval.seconds() / came_back * all * mean_cost;
+      if (r->utilization) busy[z].first += *r->utilization, busy[z].second += 1;
     }
   for (std::size_t z = 0; z < zones; ++z)
     now[z].pressure = busy[z].second > 0 ? busy[z].first / busy[z].second : 0;
@@ -178,7 +178,7 @@
       const auto row = rows_.find(r->backend);
       if (row == rows_.end() || !warm(row->second)) continue;
       const auto [it, fresh] =
-          quickest.try_emplace({r->proxies_in.value, row->second.entry.zone.value}, r->mean_latency);
+          quickest.try_emplace({r->proxy_zone.value, row->second.entry.zone.value}, r->mean_latency);
       if (!fresh) it->second = std::min(it->second, r->mean_latency);
     }
   spill::Trips middle;
--- a/src/limits/retry_budget.cpp
+++ b/src/limits/retry_budget.cpp
@@ -20,9 +20,9 @@
 
 }  // namespace
 
-FurtherTries allowed(Effect effect, FurtherTries ordered) {
-  if (effect == Effect::side_effecting) return std::min(ordered, FurtherTries::after_proof);
-  if (effect == Effect::fingerprinted) return std::min(ordered, FurtherTries::one);
+RetryPolicy allowed(Effect effect, RetryPolicy ordered) {
+  if (effect == Effect::side_effecting) return std::min(ordered, RetryPolicy::if_unprocessed);
+  if (effect == Effect::fingerprinted) return std::min(ordered, RetryPolicy::one);
   return ordered;
 }
 
--- a/src/limits/retry_budget.hpp
+++ b/src/limits/retry_budget.hpp
@@ -15,7 +15,7 @@
 namespace gorsemount::limits {
 
 // The most that an operation of this effect may be tried again, whatever a table says.
-[[nodiscard]] FurtherTries allowed(Effect effect, FurtherTries ordered);
+[[nodiscard]] RetryPolicy allowed(Effect effect, RetryPolicy ordered);
 
 class RetryBudget {
  public:
--- a/src/streams/instance.cpp
+++ b/src/streams/instance.cpp
@@ -46,11 +46,11 @@
 }
 
 std::size_t Instance::listed(const discovery::Listing& listing, bool remembered) {
-  Listed event;
-  event.scope = remembered ? ListScope::remembered : listing.whole ? ListScope::whole : ListScope::changes;
+  BackendListUpdate event;
+  event.scope = remembered ? ListScope::cached : listing.whole ? ListScope::full : ListScope::delta;
   std::size_t skipped = 0;
   std::set<BackendId> missing;
-  if (event.scope != ListScope::changes)
+  if (event.scope != ListScope::delta)
     for (const auto& [id, b] : backends_) missing.insert(id);
   for (const auto& row : listing.rows) {
     if (row.health == discovery::Health::gone) {
@@ -71,7 +71,7 @@
     Backend& b = backends_.at(id);
     b.zone = *where, b.unlisted.reset();
     b.availability = row.health == discovery::Health::ready ? Availability::ready : Availability::draining;
-    Listed::Entry entry{id, *where, b.availability, row.weight, {}};
+    BackendListUpdate::Entry entry{id, *where, b.availability, row.weight, {}};
     if (row.started_ms != 0) entry.started = unix_zero_ + Span::micros(row.started_ms * 1000);
     event.entries.push_back(entry);
   }
@@ -167,8 +167,8 @@
   const auto events = std::exchange(pending_, {});
   const auto orders = policy_.handle(now, events);
   for (const auto& order : orders) {
-    if (std::holds_alternative<FollowList>(order)) effects.follow = true;
-    if (const auto* wake = std::get_if<WakeMe>(&order)) timers_.emplace(now + wake->after, wake->tag);
+    if (std::holds_alternative<SubscribeToList>(order)) effects.follow = true;
+    if (const auto* wake = std::get_if<SetTimer>(&order)) timers_.emplace(now + wake->after, wake->tag);
   }
   for (auto& sent : tables_.carry_out(orders))
     if (const auto on = proxies_on_.find(sent.proxy); on != proxies_on_.end())
@@ -205,12 +205,12 @@
   const auto append = [](std::string& text, const std::string& what) {
     text += (text.empty() ? "" : " ") + what;
   };
-  const auto share = [](const Memory::Rung& r) {
+  const auto share = [](const PolicySnapshot::ShareState& r) {
     return ":" + std::to_string(static_cast<int>(std::lround(100 * r.share))) +
-           (r.relapses > 0 ? "r" + std::to_string(r.relapses) : "");
+           (r.failed_trials > 0 ? "r" + std::to_string(r.failed_trials) : "");
   };
   const auto name = [this](ZoneId zone) { return labels_.zones.at(zone.value); };
-  const Memory memory = policy_.remember(now_);
+  const PolicySnapshot memory = policy_.snapshot(now_);
   for (const auto& [zone, rung] : memory.zones) append(b.held_back, name(zone) + share(rung));
   for (const auto& [link, rung] : memory.links)
     append(b.held_back, name(link.first) + ">" + name(link.second) + share(rung));
--- a/src/streams/instance.hpp
+++ b/src/streams/instance.hpp
@@ -47,7 +47,7 @@
 
   // Returns how many rows could not be used, since their zone does not exist.
   std::size_t listed(const discovery::Listing& listing, bool remembered = false);
-  void list_failed() { pending_.emplace_back(Listed{ListScope::failed, {}}); }
+  void list_failed() { pending_.emplace_back(BackendListUpdate{ListScope::failed, {}}); }
   [[nodiscard]] JoinResult join(StreamId stream, const Joined& message);
   void left(StreamId stream);
   [[nodiscard]] bool joined(std::uint16_t proxy) const { return proxies_on_.contains(ProxyId{proxy}); }
--- a/src/streams/message.hpp
+++ b/src/streams/message.hpp
@@ -64,7 +64,7 @@
 };
 struct LevelFor {
   std::string_view operation;
-  FurtherTries tries = FurtherTries::none;
+  RetryPolicy tries = RetryPolicy::none;
   double level = 0;
   auto operator<=>(const LevelFor&) const = default;
 };
--- a/tests/coordinator/coordinator_test.cpp
+++ b/tests/coordinator/coordinator_test.cpp
@@ -97,7 +97,9 @@
 TEST(Coordinator, NoTableSpeaksForADrainingWorkerAndNoneIsEmpty) {
   std::vector<Order> next;
   Rig rig{4, some_settings(), [&](Instant, const std::vector<Event>&) { return std::exchange(next, {}); }};
-  const auto line = [&](const char* name, double w) { return SetLine{TableId{}, *rig.core.id_of(name), w}; };
+  const auto line = [&](const char* name, double w) {
+    return SetWeight{TableId{}, *rig.core.id_of(name), w};
+  };
   next = {line("w0", 1), line("w1", 1), BindProxy{ProxyId{0}, TableId{}}};
   rig.seconds(1);
   EXPECT_EQ(rig.weight(0, 0), 1);
@@ -120,13 +122,13 @@
   std::vector<Order> next;
   Rig rig{4, some_settings(), [&](Instant, const std::vector<Event>&) { return std::exchange(next, {}); }};
   for (unsigned k = 0; k < 4; ++k)
-    next.emplace_back(SetLine{TableId{}, *rig.core.id_of("w" + std::to_string(k)), 1});
+    next.emplace_back(SetWeight{TableId{}, *rig.core.id_of("w" + std::to_string(k)), 1});
   next.emplace_back(BindProxy{ProxyId{0}, TableId{}});
   rig.seconds(1);
   rig.restart(2, "second");
   rig.seconds(1);
   EXPECT_EQ(rig.weight(0, 2), 0) << "rule 4";
-  next = {SetLine{TableId{}, *rig.core.id_of("w2"), 0.1}};
+  next = {SetWeight{TableId{}, *rig.core.id_of("w2"), 0.1}};
   rig.seconds(1);
   EXPECT_DOUBLE_EQ(rig.weight(0, 2), 0.1);
 }
@@ -184,7 +186,7 @@
   Rig rig{12, s, [&](Instant, const std::vector<Event>&) { return std::exchange(next, {}); }};
   const auto order = [&](double w) {
     for (unsigned k = 0; k < 12; ++k)
-      next.emplace_back(SetLine{TableId{}, *rig.core.id_of("w" + std::to_string(k)), w});
+      next.emplace_back(SetWeight{TableId{}, *rig.core.id_of("w" + std::to_string(k)), w});
   };
   order(1);
   next.emplace_back(BindProxy{ProxyId{0}, TableId{}}), next.emplace_back(BindProxy{ProxyId{1}, TableId{}});
@@ -209,7 +211,7 @@
   Rig rig{3, s, [&](Instant, const std::vector<Event>&) { return std::exchange(next, {}); }};
   next = {BindProxy{ProxyId{0}, TableId{}}};
   for (int k = 0; k < 40; ++k) {
-    next.emplace_back(SetLine{TableId{}, *rig.core.id_of("w0"), 1.0 + k});
+    next.emplace_back(SetWeight{TableId{}, *rig.core.id_of("w0"), 1.0 + k});
     rig.now = rig.now + Span::seconds(0.2);
     messages += static_cast<int>(rig.step({LookedUp{ProxyId{0}}, RosterHeard{rig.roster}}).messages.size());
     rig.roster[0].weight += 0.001;  // an event, so that the module is asked
@@ -228,7 +230,7 @@
   Rig rig{3, s, [&](Instant, const std::vector<Event>&) { return std::exchange(next, {}); }};
   next = {BindProxy{ProxyId{0}, TableId{}}};
   for (int k = 0; k < 600; ++k) {
-    next.emplace_back(SetLine{TableId{}, *rig.core.id_of("w0"), 1.0 + k});
+    next.emplace_back(SetWeight{TableId{}, *rig.core.id_of("w0"), 1.0 + k});
     rig.now = rig.now + Span::seconds(0.05);
     for (std::size_t n = rig.step({LookedUp{ProxyId{0}}, RosterHeard{rig.roster}}).messages.size(); n > 0;
          --n)
--- a/tests/coordinator/remember_test.cpp
+++ b/tests/coordinator/remember_test.cpp
@@ -118,7 +118,7 @@
   s.forwarders = {{"f0", ZoneId{0}, {*Prefix::parse("127.7.0.0/24")}, 5}};
   return s;
 }
-FurtherTries tries_of(const Delivery& d) { return d.table->parts[0].level.tries; }
+RetryPolicy tries_of(const Delivery& d) { return d.table->parts[0].level.tries; }
 
 TEST(Takeover, FurtherTriesShrinkAndComeBackOnceTheTableIsWhole) {
   const ProxyId f{kFirstForwarder};
@@ -131,19 +131,19 @@
     rig.step({Recalled{known}, ForwarderJoined{f, true}});
     rig.seconds(1);
     ASSERT_FALSE(rig.deliveries.empty());
-    EXPECT_EQ(tries_of(rig.deliveries.back()), FurtherTries::none);
+    EXPECT_EQ(tries_of(rig.deliveries.back()), RetryPolicy::none);
     rig.seconds(3);
-    EXPECT_EQ(tries_of(rig.deliveries.back()), FurtherTries::none) << "it has not said that it holds it";
+    EXPECT_EQ(tries_of(rig.deliveries.back()), RetryPolicy::none) << "it has not said that it holds it";
     rig.step({ForwarderHolds{f, rig.deliveries.back().table->version}});
     rig.seconds(1);
-    EXPECT_EQ(tries_of(rig.deliveries.back()), half ? FurtherTries::none : FurtherTries::after_proof);
+    EXPECT_EQ(tries_of(rig.deliveries.back()), half ? RetryPolicy::none : RetryPolicy::if_unprocessed);
     rig.seconds(4);
-    EXPECT_EQ(tries_of(rig.deliveries.back()), FurtherTries::after_proof);
+    EXPECT_EQ(tries_of(rig.deliveries.back()), RetryPolicy::if_unprocessed);
   }
   Rig own{9, with_forwarder()};
   own.step({ForwarderJoined{f, false}});
   own.seconds(1);
-  EXPECT_EQ(tries_of(own.deliveries.back()), FurtherTries::after_proof) << "nobody led it before";
+  EXPECT_EQ(tries_of(own.deliveries.back()), RetryPolicy::if_unprocessed) << "nobody led it before";
 }
 
 // A restarted coordinator reaches its forwarders before it has heard a single worker.
--- a/tests/limits/retry_budget_test.cpp
+++ b/tests/limits/retry_budget_test.cpp
@@ -124,9 +124,9 @@
 
 TEST(RetryBudget, SideEffectingWorkNeverGetsMoreThanProof) {
   for (const auto ordered :
-       {FurtherTries::none, FurtherTries::after_proof, FurtherTries::one, FurtherTries::two}) {
-    EXPECT_EQ(allowed(Effect::side_effecting, ordered), std::min(ordered, FurtherTries::after_proof));
-    EXPECT_EQ(allowed(Effect::fingerprinted, ordered), std::min(ordered, FurtherTries::one));
+       {RetryPolicy::none, RetryPolicy::if_unprocessed, RetryPolicy::one, RetryPolicy::two}) {
+    EXPECT_EQ(allowed(Effect::side_effecting, ordered), std::min(ordered, RetryPolicy::if_unprocessed));
+    EXPECT_EQ(allowed(Effect::fingerprinted, ordered), std::min(ordered, RetryPolicy::one));
     EXPECT_EQ(allowed(Effect::idempotent, ordered), ordered);
   }
 }
--- a/tests/streams/instance_test.cpp
+++ b/tests/streams/instance_test.cpp
@@ -319,7 +319,7 @@
   std::multimap<double, std::uint64_t> alarms;
   double now = 0;
   const auto adapter = [&](const Json& items) {
-    const Json reply = Json::parse(host.reply_to(Json{{"sim-time-s", now}, {"items", items}}.dump()));
+    const Json reply = Json::parse(host.process_batch(Json{{"sim-time-s", now}, {"items", items}}.dump()));
     for (const auto& o : reply["output"]) {
       if (o["t"] == "set-weight") {
         if (o["w"] > 0)
