--- a/src/core/address.hpp
+++ b/src/core/address.hpp
@@ -1,4 +1,4 @@
-// IP addresses and prefixes as plain values.
+// IP addresses, endpoints and prefixes as values.
 #pragma once
 
 #include <array>
@@ -9,14 +9,14 @@
 
 namespace gorsemount {
 
-// An IPv4 address is held in its first four bytes.
+// An IPv4 address uses the first four bytes.
 struct Address {
   bool v6 = false;
   std::array<std::uint8_t, 16> bytes{};
   auto operator<=>(const Address&) const = default;
   [[nodiscard]] unsigned bits() const { return v6 ? 128 : 32; }
   [[nodiscard]] std::string text() const;
-  // Empty if `text` is no address. An IPv4 address mapped into IPv6 becomes the IPv4 one.
+  // Empty if `text` is not an address. An IPv4-mapped IPv6 address becomes an IPv4 address.
   [[nodiscard]] static std::optional<Address> parse(const std::string& text);
 };
 
@@ -33,13 +33,13 @@
   Address address;
   unsigned length = 0;
   auto operator<=>(const Prefix&) const = default;
-  [[nodiscard]] bool covers(const Address& a) const;
+  [[nodiscard]] bool covers(const Address& other) const;
   [[nodiscard]] std::string text() const;
-  // Empty if `text` is no prefix or has bits set behind its length.
+  // Empty if `text` is not a prefix or has bits set beyond its length.
   [[nodiscard]] static std::optional<Prefix> parse(const std::string& text);
 };
 
-// The address with all bits behind `length` cleared.
+// The address with all bits beyond `length` cleared.
 [[nodiscard]] Address masked(Address address, unsigned length);
 
 }  // namespace gorsemount
--- a/src/core/ids.hpp
+++ b/src/core/ids.hpp
@@ -1,4 +1,4 @@
-// One strong type for each kind of id.
+// Strongly typed ids.
 #pragma once
 
 #include <compare>
--- a/src/core/time.hpp
+++ b/src/core/time.hpp
@@ -1,4 +1,4 @@
-// Points in time and spans between them: two types that the compiler keeps apart.
+// Points in time and time spans as distinct types with microsecond resolution.
 #pragma once
 
 #include <cmath>
@@ -28,7 +28,7 @@
   std::int64_t micros_ = 0;
 };
 
-// A point on the clock that the host hands in; the clock has no special start.
+// A point in time on a clock given by the host, with an arbitrary epoch.
 class Instant {
  public:
   constexpr Instant() = default;
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -1,10 +1,11 @@
-// gorsemount's decisions, whole; the interface is policy.hpp. A host makes one Policy for each coordinator,
-// hands all that came in at one time to handle(), and carries out the orders in the order returned. A pass
-// takes events in (note, hear), judges, works out the wanted tables and levels (want), and orders the
-// difference (emit, bind).
-// The mechanism (docs/design.md): one table for all proxies, weight = listed weight x ladder share. A ladder
-// steps a silo's share down on a sustained failure signal, and back up in trial steps: a zone's, a single
-// backend's (the smallest silo), or that of the link between two zones.
+// Implementation of the decision module declared in policy.hpp. A host creates one Policy per coordinator,
+// passes all events of one time to handle(), and carries out the returned orders in sequence. Each call
+// applies the events, processes the reports, updates the health of backends, zones and links, computes the
+// wanted tables and admission limits, and orders the difference from what was sent.
+//
+// All proxies share one table in which weight = listed weight x traffic share. A share controller steps the
+// share of a zone, a single backend or the link between two zones down on a sustained failure signal, and
+// back up in trial steps.
 #include "policy/policy.hpp"
 
 #include <algorithm>
@@ -21,781 +22,861 @@
 
 namespace {
 
-constexpr double kNoLevel = 1e6;         // a rate that no proxy reaches: everything is let in
-constexpr std::size_t kSamples = 8;      // longest look-back below (zones: 200 answers) in report lines
-const Span kTick = Span::seconds(0.25);  // finer than any timer below, far above the host's resolution
+constexpr double kUnlimitedRate = 1e6;  // above any proxy's rate: admits everything
+constexpr std::size_t kMaxSamples = 8;  // longest look-back, in report rounds (a zone needs 200 tries)
+// Shorter than all timers below, far above the host's clock resolution.
+const Span kTickInterval = Span::seconds(0.25);
 
-// Evidence from some tries.
-struct Tally {
+// Sums over a number of tries.
+struct TryStats {
   double tries = 0;
   double errored = 0;
-  double waited = 0;  // for succeeded answers, s
-  [[nodiscard]] double share() const { return tries > 0 ? errored / tries : 0; }
-  [[nodiscard]] double latency() const { return tries > errored ? waited / (tries - errored) : 0; }
-  friend Tally operator+(const Tally& a, const Tally& b) {
-    return {a.tries + b.tries, a.errored + b.errored, a.waited + b.waited};
+  double latency_sum = 0;  // sum over succeeded tries, s
+  [[nodiscard]] double error_rate() const { return tries > 0 ? errored / tries : 0; }
+  [[nodiscard]] double mean_latency() const { return tries > errored ? latency_sum / (tries - errored) : 0; }
+  friend TryStats operator+(const TryStats& a, const TryStats& b) {
+    return {a.tries + b.tries, a.errored + b.errored, a.latency_sum + b.latency_sum};
   }
-  Tally& operator+=(const Tally& o) { return *this = *this + o; }
+  TryStats& operator+=(const TryStats& o) { return *this = *this + o; }
 };
 
-// What the report lines of one time say.
+// The reports received in one round.
 struct Sample {
-  Instant heard;
-  double interval = 0;  // the span of its lines, s: a round, and longer where lines wait their turn
-  Tally tally;
-  std::optional<double> utilization;  // part of its processors in use, as it tells
-  [[nodiscard]] Instant began() const { return heard - Span::seconds(interval); }
+  Instant received;
+  double interval = 0;  // time that the reports cover, s: a round, or longer if reports are delayed
+  TryStats stats;
+  std::optional<double> utilization;  // fraction of the processors in use, as reported
+  [[nodiscard]] Instant begin_time() const { return received - Span::seconds(interval); }
 };
 
-double quantile(std::vector<double> values, double part) {
+double quantile(std::vector<double> values, double fraction) {
   if (values.empty()) return 0;
-  const auto place = values.begin() + static_cast<std::ptrdiff_t>(part * static_cast<double>(values.size()));
-  std::nth_element(values.begin(), place, values.end());
-  return *place;
+  const auto position =
+      values.begin() + static_cast<std::ptrdiff_t>(fraction * static_cast<double>(values.size()));
+  std::nth_element(values.begin(), position, values.end());
+  return *position;
 }
 
-OperationId id_of(std::size_t place) { return OperationId{static_cast<std::uint8_t>(place)}; }
+OperationId operation_id(std::size_t position) { return OperationId{static_cast<std::uint8_t>(position)}; }
 
-// The rate at which proxies that get `rates` a second together let in `left` a second.
-double common_rate(std::vector<double> rates, double left) {
+// Max-min fair limit: the per-proxy rate at which proxies with the demands `rates` admit `remaining` a
+// second in total.
+double fair_rate_limit(std::vector<double> rates, double remaining) {
   std::sort(rates.begin(), rates.end());
-  for (std::size_t p = 0; p < rates.size(); left -= rates[p++])
-    if (const double even = left / static_cast<double>(rates.size() - p); rates[p] >= even) return even;
-  return kNoLevel;
+  for (std::size_t p = 0; p < rates.size(); remaining -= rates[p++])
+    if (const double even = remaining / static_cast<double>(rates.size() - p); rates[p] >= even) return even;
+  return kUnlimitedRate;
 }
 
-enum class Verdict { unknown, well, slow, failed };
+enum class Health { unknown, healthy, slow, failed };
 
-struct Steps {
-  double down, up;                  // parts of the full share taken, or given back, each step
-  Span down_every, hold, up_every;  // hold: from the end of the drain to the trial
+struct StepSettings {
+  double down, up;                        // change of the share in each step
+  Span down_interval, hold, up_interval;  // hold: from a share of 0 to the first trial
 };
-// A small silo (a backend, a link) falls in one step, and climbs in thirds.
-const Steps kSmall{1.0, 1.0 / 3, Span{}, Span::seconds(4), Span::seconds(1)};
-const Steps kZone{1.0 / 3, 0.1, Span::seconds(2), Span::seconds(10), Span::seconds(3)};
+// A backend or a link is removed in one step and restored in thirds.
+const StepSettings kTargetSteps{1.0, 1.0 / 3, Span{}, Span::seconds(4), Span::seconds(1)};
+const StepSettings kZoneSteps{1.0 / 3, 0.1, Span::seconds(2), Span::seconds(10), Span::seconds(3)};
 
-struct Ladder {
+struct ShareController {
   double share = 1;
-  bool reducing = false;  // a drain runs to its end
-  Instant next;           // earliest next step
-  Instant changed;        // when the share last moved
-  Instant bad_since;      // zones: the signal must last
-  int failed_trials = 0;  // trials that failed
-  bool was_slow = false;  // it was slow: it climbs by small steps
-
-  [[nodiscard]] bool whole() const { return share >= 1 && !reducing; }
-  void move(double to, Instant now, Span wait) {
-    share = std::clamp(to, 0.0, 1.0), changed = now, next = now + wait;
+  bool reducing = false;  // stepping down to 0
+  Instant next_step;      // earliest time of the next step
+  Instant changed_at;     // last change of the share
+  Instant failing_since;  // zones only: start of the current failure signal
+  int failed_trials = 0;  // since the last long period at full share
+  bool was_slow = false;  // restore in smaller steps
+
+  [[nodiscard]] bool at_full_share() const { return share >= 1 && !reducing; }
+  void move(double target, Instant now, Span wait) {
+    share = std::clamp(target, 0.0, 1.0), changed_at = now, next_step = now + wait;
   }
-  void advance(Instant now, const Steps& steps, Verdict verdict, double trial) {
-    if (verdict == Verdict::failed && !reducing && share > 0) {
+  void advance(Instant now, const StepSettings& steps, Health health, double trial_share) {
+    if (health == Health::failed && !reducing && share > 0) {
       if (share < 1) ++failed_trials;
-      reducing = true, next = now;
+      reducing = true, next_step = now;
     }
-    if (now < next) return;
+    if (now < next_step) return;
     if (reducing) {
-      move(share - steps.down, now, steps.down_every);
-      // A relapse doubles the hold, three times at most: flapping must not meet the step timers.
+      move(share - steps.down, now, steps.down_interval);
+      // Each failed trial doubles the hold, up to three times, so that a flapping target does not
+      // fall into step with the timers.
       if (share < 1e-9) move(0, now, steps.hold * (1 << std::min(failed_trials, 3))), reducing = false;
     } else if (share <= 0) {
-      move(trial, now, steps.up_every);
-    } else if (verdict == Verdict::slow) {
-      // Slow is not broken: a quarter less, never out, and back by small steps.
+      move(trial_share, now, steps.up_interval);
+    } else if (health == Health::slow) {
+      // A slow target keeps part of its traffic: each step takes a quarter, down to a tenth, and it
+      // is restored in small steps.
       was_slow = true;
-      move(std::max(0.1, share * 0.75), now, steps.up_every * 2);
+      move(std::max(0.1, share * 0.75), now, steps.up_interval * 2);
     } else if (share < 1) {
-      if (verdict == Verdict::well)
-        move(share + (was_slow || failed_trials > 0 ? steps.up / 4 : steps.up), now, steps.up_every);
-    } else if (now - changed > steps.hold * 4) {
+      if (health == Health::healthy)
+        move(share + (was_slow || failed_trials > 0 ? steps.up / 4 : steps.up), now, steps.up_interval);
+    } else if (now - changed_at > steps.hold * 4) {
       failed_trials = 0, was_slow = false;
     }
   }
 };
 
-// What has a ladder and samples of its own: a backend, or the way between two zones.
-struct Silo {
-  Ladder ladder;
+// A target with its own samples and share controller: a backend, or the link between two zones.
+struct Target {
+  ShareController control;
   std::deque<Sample> samples;
-  Instant answered;  // when a succeeded try was last heard of
-  [[nodiscard]] Tally tally(std::size_t most, Instant since) const {  // of the last samples begun since
-    Tally t;
-    for (auto it = samples.rbegin(); it != samples.rend() && most > 0 && it->began() > since; ++it, --most)
-      t += it->tally;
+  Instant last_success;  // last report with a succeeded try
+  // Over the last samples that began after `since`.
+  [[nodiscard]] TryStats stats(std::size_t max_samples, Instant since) const {
+    TryStats t;
+    for (auto it = samples.rbegin(); it != samples.rend() && max_samples > 0 && it->begin_time() > since;
+         ++it, --max_samples)
+      t += it->stats;
     return t;
   }
 };
 
-struct Backend : Silo {
-  BackendListUpdate::Entry listed;
-  std::size_t cut = 0;   // the cut of the shared table that holds its line
-  double line = 0;       // its weight there
-  Instant line_moved;    // when that last changed
-  bool dropped = false;  // the list lost it, where that alone does not bind
+struct Backend : Target {
+  BackendListUpdate::Entry entry;
+  std::size_t subset = 0;   // the subset whose table holds the backend
+  double table_weight = 0;  // weight as last sent
+  Instant weight_changed;   // last change of table_weight
+  bool unlisted = false;    // missing from the list, where removal is not binding
 };
 
 struct Proxy {
   ZoneId zone;
-  double rate = 0;  // invocations a second, as usual for it
-  std::optional<std::size_t> cut;
+  double rate = 0;  // usual invocations a second
+  std::optional<std::size_t> subset;
   std::optional<TableId> bound;
 };
 
-struct Level {
-  RetryPolicy tries = RetryPolicy::if_unprocessed;
-  double level = 1;
+struct Admission {
+  RetryPolicy retries = RetryPolicy::if_unprocessed;
+  double limit = 1;
 };
 
-// Tables under 1000 are the cuts of the shared one; above, those of a zone that a link cuts off.
-TableId number_of(std::size_t cut, std::size_t silo = 0) {
-  return TableId{static_cast<std::uint16_t>(1000 * silo + cut)};
+// Ids below 1000 are the subset tables; above are the tables of a zone whose proxies avoid a failing link
+// (`zone_number` is 1 + zone).
+TableId table_id(std::size_t subset, std::size_t zone_number = 0) {
+  return TableId{static_cast<std::uint16_t>(1000 * zone_number + subset)};
 }
 
 struct Table {
-  std::map<BackendId, double> lines;
-  std::vector<Level> levels;
-  std::deque<Instant> messages;  // to its proxies, within the settings' window
-  Instant sent_at;               // the last of them
-  double users = 0;
+  std::map<BackendId, double> weights;
+  std::vector<Admission> admissions;
+  std::deque<Instant> message_times;  // sent within messages_window
+  Instant last_sent;                  // time of the last message
+  double proxy_count = 0;
 };
 
 }  // namespace
 
 struct Policy::State {
-  State(Settings given, std::uint64_t seed) : s{std::move(given)}, chance{static_cast<std::uint32_t>(seed)} {
-    cycle = s.report_every.seconds();
-    arrived.resize(s.operations.size()), came.resize(s.operations.size());
-    for (const auto& op : s.operations)
-      objective += op.latency_objective.seconds() / static_cast<double>(s.operations.size());
+  State(Settings initial, std::uint64_t seed)
+      : settings{std::move(initial)}, rng{static_cast<std::uint32_t>(seed)} {
+    report_interval = settings.report_every.seconds();
+    arrived.resize(settings.operations.size()), arrival_ratios.resize(settings.operations.size());
+    for (const auto& operation : settings.operations)
+      mean_objective +=
+          operation.latency_objective.seconds() / static_cast<double>(settings.operations.size());
   }
 
-  void note(const TimerFired&) {}
-  void note(const BackendReport& e) { ++told, round.push_back(e); }
+  void on_event(const TimerFired&) {}
+  void on_event(const BackendReport& e) { ++reports_received, pending_reports.push_back(e); }
 
-  [[nodiscard]] bool ready(const Backend& b) const { return b.listed.availability == Availability::ready; }
+  [[nodiscard]] bool ready(const Backend& b) const { return b.entry.availability == Availability::ready; }
 
-  Settings s;
-  std::mt19937 chance;
+  Settings settings;
+  std::mt19937 rng;
   Instant now;
   std::vector<Order> out;
 
-  std::map<BackendId, Backend> roster;
-  std::map<BackendId, Ladder> recalled;  // of those that are not listed yet
-  std::map<ZoneId, Ladder> zones;
-  std::map<std::pair<ZoneId, ZoneId>, Silo> links;           // from the proxies' zone to the backends'
-  std::vector<BackendReport> round;                          // lines not yet taken in
-  std::size_t told = 0;                                      // of both kinds
-  std::map<std::pair<ProxyId, OperationId>, double> demand;  // invocations a second, as last told
-  std::vector<double> arrived;                               // by operation, since the levels were last set
-  std::vector<std::deque<double>> came;                      // what came of what was told; the last rounds
-  double objective = 0;                                      // mean latency objective, s
-
-  // Summed up anew whenever lines were heard.
-  Instant latest, fresh;          // when that was; samples that began after `fresh` bear on the present
-  double cycle = 0;               // how far apart a backend's lines come, s
-  double all_errors = 0;          // the share of errors of all that are in
-  double strain = 0;              // errors that all share
-  double usual_lateness = 0;      // the median backend's, s
-  double pressure = 0;            // mean use of the backends' processors; 0 where they do not tell
-  Tally flow;                     // all that was heard since the levels were last worked out
-  double tried = 0, carried = 0;  // a second: tries, and the succeeded of them
-  std::vector<double> due;        // tries a second for a line's weight, by cut
-
-  std::vector<Level> wanted_levels;
-  std::optional<Instant> levels_at;
-  std::deque<double> able_log;  // the last rounds: cost a second for full use, by listed weight
-  double trim = 1;
-  bool limiting = false;  // some level is below full
-
-  std::map<TableId, Table> wanted, present;
-  std::map<ProxyId, Proxy> joined;
-  std::size_t cuts = 0;  // tables that the shared one is cut into; 0: not known yet
-  bool following = false;
-  std::optional<Instant> first_joined, ask_at, wake_at;
-  double queue = 0;  // lines in the channel, reckoned at queue_at
-  Instant queue_at;
-
-  // ---- What is heard -------------------------------------------------------------------------------
-
-  void note(const BackendListUpdate& e) {
+  std::map<BackendId, Backend> backends;
+  std::map<BackendId, ShareController> restored;  // for backends that are not listed yet
+  std::map<ZoneId, ShareController> zones;
+  std::map<std::pair<ZoneId, ZoneId>, Target> links;  // keyed by proxy zone, backend zone
+  std::vector<BackendReport> pending_reports;         // not processed yet
+  std::size_t reports_received = 0;                   // backend and demand reports since the last round
+  std::map<std::pair<ProxyId, OperationId>, double> demand;  // invocations a second, as last reported
+  std::vector<double> arrived;  // per operation, since the last update of the admission limits
+  // Per operation: arrivals divided by the sum of the reported rates, for the last rounds.
+  std::vector<std::deque<double>> arrival_ratios;
+  double mean_objective = 0;  // mean latency objective, s
+
+  // Updated after each round of reports.
+  Instant last_round, fresh_since;       // time of the round; older samples are stale
+  double report_interval = 0;            // time between two reports on a backend, s
+  double total_error_rate = 0;           // error rate over all backends with traffic
+  double common_error_rate = 0;          // error rate that the backends have in common
+  double median_latency = 0;             // over the backends, penalized, s
+  double mean_utilization = 0;           // of the backends' processors; 0 if not reported
+  TryStats round_stats;                  // since the last update of the admission limits
+  double try_rate = 0, goodput = 0;      // tries and succeeded tries a second
+  std::vector<double> tries_per_weight;  // per subset: tries a second for each unit of table weight
+
+  std::vector<Admission> wanted_admissions;
+  std::optional<Instant> admissions_updated_at;
+  // Cost a second at full utilization per unit of listed weight, for the last rounds.
+  std::deque<double> capacity_samples;
+  double correction = 1;
+  bool limiting = false;  // some admission limit is below full
+
+  std::map<TableId, Table> wanted_tables, sent_tables;
+  std::map<ProxyId, Proxy> proxies;
+  std::size_t subset_count = 0;  // 0: not partitioned yet
+  bool subscribed = false;
+  std::optional<Instant> first_join, next_subscribe, next_wake;
+  double channel_backlog = 0;  // lines in the channel as of channel_backlog_at
+  Instant channel_backlog_at;
+
+  // ---- Events ----------------------------------------------------------------------------------------
+
+  void on_event(const BackendListUpdate& e) {
     if (e.scope == ListScope::failed) {
-      following = false;
-      // Instances that failed together must not ask together again.
-      ask_at = now + Span::seconds(std::uniform_real_distribution<>{0.2, 1.0}(chance));
+      subscribed = false;
+      // Random delay: instances that failed together must not all subscribe at the same time.
+      next_subscribe = now + Span::seconds(std::uniform_real_distribution<>{0.2, 1.0}(rng));
       return;
     }
-    if (e.scope != ListScope::cached) following = true;
-    std::set<BackendId> lost;
+    if (e.scope != ListScope::cached) subscribed = true;
+    std::set<BackendId> removed;
     if (e.scope != ListScope::delta)
-      for (const auto& [id, b] : roster) lost.insert(id);
+      for (const auto& [id, b] : backends) removed.insert(id);
     for (const auto& entry : e.entries) {
       if (entry.availability == Availability::gone) {
-        lost.insert(entry.backend);
+        removed.insert(entry.backend);
         continue;
       }
-      lost.erase(entry.backend);
-      const bool unknown = !roster.contains(entry.backend);
-      const std::size_t cut = unknown ? neediest_cut(entry.zone) : 0;
-      Backend& b = roster[entry.backend];
-      if (unknown) b.cut = cut;
-      if (auto rung = recalled.extract(entry.backend); unknown && rung) b.ladder = rung.mapped();
-      // What was heard of the process before says nothing of this one.
-      if (!unknown && entry.started && b.listed.started != entry.started) b.ladder = {}, b.samples.clear();
-      b.listed = entry, b.dropped = false;
-      if (entry.weight <= 0) b.listed.weight = 1;
+      removed.erase(entry.backend);
+      const bool unknown = !backends.contains(entry.backend);
+      const std::size_t subset = unknown ? lightest_subset(entry.zone) : 0;
+      Backend& b = backends[entry.backend];
+      if (unknown) b.subset = subset;
+      if (auto state = restored.extract(entry.backend); unknown && state) b.control = state.mapped();
+      // Samples of the previous process say nothing about the restarted one.
+      if (!unknown && entry.started && b.entry.started != entry.started) b.control = {}, b.samples.clear();
+      b.entry = entry, b.unlisted = false;
+      if (entry.weight <= 0) b.entry.weight = 1;
     }
-    // Where 'gone' alone does not bind, a backend that answers outweighs the list: it stays until it fails.
-    for (const auto id : lost) {
-      const auto row = roster.find(id);
-      if (row == roster.end()) continue;
+    // Where removal is not binding, answers from a backend outweigh the list: the backend stays until
+    // it fails.
+    for (const auto id : removed) {
+      const auto row = backends.find(id);
+      if (row == backends.end()) continue;
       Backend& b = row->second;
-      b.dropped = true;
-      if (s.removal_binds || !ready(b) || b.ladder.share <= 0 || warmth(b) < 1) roster.erase(row);
+      b.unlisted = true;
+      if (settings.removal_binds || !ready(b) || b.control.share <= 0 || slow_start_factor(b) < 1)
+        backends.erase(row);
     }
   }
 
-  // Where the zone has least weight, then where all have: a fleet that is replaced backend by backend keeps
-  // its size, and dealt by that its newcomers would all gather in one cut while the others run dry.
-  std::size_t neediest_cut(ZoneId zone) const {
-    if (cuts < 2) return 0;
-    std::vector<std::pair<double, double>> weights(cuts);
-    for (const auto& [id, b] : roster) {
+  // Returns the subset with the least weight in the zone, then in total. If a fleet is replaced backend
+  // by backend its size stays the same; assigning by size would put all new backends into one subset and
+  // drain the others.
+  std::size_t lightest_subset(ZoneId zone) const {
+    if (subset_count < 2) return 0;
+    std::vector<std::pair<double, double>> weights(subset_count);
+    for (const auto& [id, b] : backends) {
       if (!ready(b)) continue;
-      if (b.listed.zone == zone) weights[b.cut].first += b.listed.weight;
-      weights[b.cut].second += b.listed.weight;
+      if (b.entry.zone == zone) weights[b.subset].first += b.entry.weight;
+      weights[b.subset].second += b.entry.weight;
     }
     return static_cast<std::size_t>(std::min_element(weights.begin(), weights.end()) - weights.begin());
   }
 
-  void note(const ProxyJoined& e) {
-    joined[e.proxy] = Proxy{e.zone, e.usual_rate, {}, {}};
-    if (!first_joined) first_joined = now;
+  void on_event(const ProxyJoined& e) {
+    proxies[e.proxy] = Proxy{e.zone, e.usual_rate, {}, {}};
+    if (!first_join) first_join = now;
   }
 
-  void note(const ProxyLeft& e) {
-    joined.erase(e.proxy);
-    for (std::size_t k = 0; k < s.operations.size(); ++k) demand.erase({e.proxy, id_of(k)});
+  void on_event(const ProxyLeft& e) {
+    proxies.erase(e.proxy);
+    for (std::size_t k = 0; k < settings.operations.size(); ++k) demand.erase({e.proxy, operation_id(k)});
   }
 
-  void note(const DemandReport& e) {
-    if (e.interval <= Span{} || e.operation.value >= s.operations.size() || !joined.contains(e.proxy)) return;
-    ++told, demand[{e.proxy, e.operation}] = e.arrived / e.interval.seconds();
+  void on_event(const DemandReport& e) {
+    if (e.interval <= Span{} || e.operation.value >= settings.operations.size() || !proxies.contains(e.proxy))
+      return;
+    ++reports_received, demand[{e.proxy, e.operation}] = e.arrived / e.interval.seconds();
     arrived[e.operation.value] += e.arrived;
   }
 
-  void record(Silo& silo, const BackendReport& r, double interval) {
-    if (silo.samples.empty() || now - silo.samples.back().heard > s.report_every * 0.5)
-      silo.samples.emplace_back();
-    if (silo.samples.size() > kSamples) silo.samples.pop_front();
-    Sample& sample = silo.samples.back();
-    sample.heard = now, sample.interval = interval;
+  void record_sample(Target& target, const BackendReport& r, double interval) {
+    if (target.samples.empty() || now - target.samples.back().received > settings.report_every * 0.5)
+      target.samples.emplace_back();
+    if (target.samples.size() > kMaxSamples) target.samples.pop_front();
+    Sample& sample = target.samples.back();
+    sample.received = now, sample.interval = interval;
     const double tries = r.tries, errored = r.errored;
-    sample.tally += Tally{tries, errored, (tries - errored) * r.mean_latency.seconds()};
+    sample.stats += TryStats{tries, errored, (tries - errored) * r.mean_latency.seconds()};
     if (r.utilization) sample.utilization = r.utilization;
-    if (tries > errored) silo.answered = now;
+    if (tries > errored) target.last_success = now;
   }
 
-  // Turns report lines into samples. Where the host hands on fewer lines than there are, those of one round
-  // come over several, and each counts over its own span.
-  void hear() {
-    if (round.empty()) return;
-    // Lines that wait their turn span the wait; else a longer span is a quiet time before the last round.
-    const bool waiting = static_cast<double>(told) > 0.9 * s.max_report_rate * s.report_every.seconds();
-    std::vector<double> spans;
-    std::erase_if(round, [this](const auto& r) { return !roster.contains(r.backend); });
-    for (const auto& r : round)
-      spans.push_back(r.interval.seconds()), flow.tries += r.tries, flow.errored += r.errored;
+  // Turns reports into samples. If the host passes on fewer reports than there are, one round's reports
+  // arrive over several rounds, and each counts over its own interval.
+  void process_reports() {
+    if (pending_reports.empty()) return;
+    // Delayed reports cover the delay as well. Otherwise a longer interval means an idle period before
+    // the last round.
+    const bool waiting = static_cast<double>(reports_received) >
+                         0.9 * settings.max_report_rate * settings.report_every.seconds();
+    std::vector<double> intervals;
+    std::erase_if(pending_reports, [this](const auto& r) { return !backends.contains(r.backend); });
+    for (const auto& r : pending_reports)
+      intervals.push_back(r.interval.seconds()), round_stats.tries += r.tries,
+          round_stats.errored += r.errored;
     const double interval =
-        std::max(quantile(std::move(spans), waiting ? 0.5 : 0.1), 0.5 * s.report_every.seconds());
-    for (const auto& r : round)
-      if (const Backend& b = roster[r.backend]; b.ladder.share > 0)
-        record(links[{r.proxy_zone, b.listed.zone}], r, interval);
-    cycle = std::max(s.report_every.seconds(), interval);
-    judge_links();
-    for (const auto& r : round) {
-      Backend& b = roster[r.backend];
-      // What is lost on a link that is cut says nothing of the backend behind it.
-      if (links[{r.proxy_zone, b.listed.zone}].ladder.whole()) record(b, r, interval);
+        std::max(quantile(std::move(intervals), waiting ? 0.5 : 0.1), 0.5 * settings.report_every.seconds());
+    for (const auto& r : pending_reports)
+      if (const Backend& b = backends[r.backend]; b.control.share > 0)
+        record_sample(links[{r.proxy_zone, b.entry.zone}], r, interval);
+    report_interval = std::max(settings.report_every.seconds(), interval);
+    update_links();
+    for (const auto& r : pending_reports) {
+      Backend& b = backends[r.backend];
+      // Losses on a failing link say nothing about the backend behind it.
+      if (links[{r.proxy_zone, b.entry.zone}].control.at_full_share()) record_sample(b, r, interval);
     }
-    round.clear(), told = 0;
-    sum_up();
-    const double since = levels_at ? (now - *levels_at).seconds() : interval;
-    if (levels_at && since < s.report_every.seconds() * 0.9) return;
-    tried = flow.tries / since, carried = (flow.tries - flow.errored) / since, flow = {};
-    weigh_demand(since);
-    levels_at = now, want_levels();
+    pending_reports.clear(), reports_received = 0;
+    summarize();
+    const double since = admissions_updated_at ? (now - *admissions_updated_at).seconds() : interval;
+    if (admissions_updated_at && since < settings.report_every.seconds() * 0.9) return;
+    try_rate = round_stats.tries / since, goodput = (round_stats.tries - round_stats.errored) / since,
+    round_stats = {};
+    update_arrival_ratios(since);
+    admissions_updated_at = now, compute_admissions();
   }
 
-  // Where few invocations come to a proxy, a line comes only now and then, and what was last told adds up to
-  // more than comes: each is a rate at a time when something came. What all lines count is the sum; the
-  // median of some rounds, since some lines come late.
-  void weigh_demand(double since) {
-    std::vector<double> sums(came.size(), 1e-9);
-    for (const auto& [key, rate] : demand) sums[key.second.value] += rate;
-    for (std::size_t k = 0; k < came.size(); ++k) {
-      came[k].push_back(std::exchange(arrived[k], 0) / since / sums[k]);
-      if (came[k].size() > kSamples) came[k].pop_front();
+  // A proxy with few invocations reports only in intervals in which something arrived, so the sum of the
+  // last reported rates exceeds the real rate. The counts over all reports give the ratio; the median
+  // over some rounds is used, since some reports are late.
+  void update_arrival_ratios(double since) {
+    std::vector<double> reported_totals(arrival_ratios.size(), 1e-9);
+    for (const auto& [key, rate] : demand) reported_totals[key.second.value] += rate;
+    for (std::size_t k = 0; k < arrival_ratios.size(); ++k) {
+      arrival_ratios[k].push_back(std::exchange(arrived[k], 0) / since / reported_totals[k]);
+      if (arrival_ratios[k].size() > kMaxSamples) arrival_ratios[k].pop_front();
     }
   }
 
-  void sum_up() {
-    latest = now, fresh = now - Span::seconds(cycle) - s.report_every * 2.5;
-    std::vector<double> late;
-    std::vector<Tally> all;
-    double busy = 0, tell = 0;
-    std::vector<double> weights(std::max<std::size_t>(cuts, 1), 1e-9);
-    due.assign(weights.size(), 0);
-    for (const auto& [id, b] : roster) {
-      weights[b.cut] += b.line;
-      if (b.samples.empty() || b.samples.back().began() <= fresh) continue;
+  void summarize() {
+    last_round = now, fresh_since = now - Span::seconds(report_interval) - settings.report_every * 2.5;
+    std::vector<double> latencies;
+    std::vector<TryStats> all;
+    double busy = 0, reporting = 0;
+    std::vector<double> weights(std::max<std::size_t>(subset_count, 1), 1e-9);
+    tries_per_weight.assign(weights.size(), 0);
+    for (const auto& [id, b] : backends) {
+      weights[b.subset] += b.table_weight;
+      if (b.samples.empty() || b.samples.back().begin_time() <= fresh_since) continue;
       const Sample& last = b.samples.back();
-      if (now - last.heard < Span::seconds(0.95 * cycle)) due[b.cut] += last.tally.tries / last.interval;
-      if (const double own = lateness(b.tally(4, fresh - s.report_every * 2)); own > 0) late.push_back(own);
-      if (b.ladder.share <= 0) continue;
-      if (last.utilization) busy += *last.utilization, ++tell;
-      all.push_back(b.tally(2, fresh));
+      if (now - last.received < Span::seconds(0.95 * report_interval))
+        tries_per_weight[b.subset] += last.stats.tries / last.interval;
+      if (const double own = penalized_latency(b.stats(4, fresh_since - settings.report_every * 2)); own > 0)
+        latencies.push_back(own);
+      if (b.control.share <= 0) continue;
+      if (last.utilization) busy += *last.utilization, ++reporting;
+      all.push_back(b.stats(2, fresh_since));
     }
-    for (std::size_t k = 0; k < due.size(); ++k) due[k] /= weights[k];
-    usual_lateness = quantile(std::move(late), 0.5);
-    pressure = tell > 0 ? busy / tell : 0;
-    // The errors that the fleet has in common: without the worst quarter of the backends, whose errors are
-    // their own. It is what tells an overload from broken backends.
-    std::sort(all.begin(), all.end(), [](const Tally& a, const Tally& b) { return a.share() < b.share(); });
-    all_errors = std::accumulate(all.begin(), all.end(), Tally{}, std::plus<>{}).share();
+    for (std::size_t k = 0; k < tries_per_weight.size(); ++k) tries_per_weight[k] /= weights[k];
+    median_latency = quantile(std::move(latencies), 0.5);
+    mean_utilization = reporting > 0 ? busy / reporting : 0;
+    // The error rate that the backends have in common leaves out the quarter with the highest error
+    // rates, whose errors are their own. It distinguishes an overload from broken backends.
+    std::sort(all.begin(), all.end(),
+              [](const TryStats& a, const TryStats& b) { return a.error_rate() < b.error_rate(); });
+    total_error_rate = std::accumulate(all.begin(), all.end(), TryStats{}, std::plus<>{}).error_rate();
     all.resize(all.size() * 3 / 4);
-    strain = std::accumulate(all.begin(), all.end(), Tally{}, std::plus<>{}).share();
+    common_error_rate = std::accumulate(all.begin(), all.end(), TryStats{}, std::plus<>{}).error_rate();
   }
 
-  // ---- What it means -------------------------------------------------------------------------------
-
-  // The part of full weight that a starting backend may have: by what the settings guarantee of its capacity,
-  // squared, since a short burst or a slow machine must not tip it. As a fleet tips over, proxies leave the
-  // lines that fail them and press on the rest, whatever its weight: so in a hot fleet a newcomer stays out
-  // until even a full line's part of all that is sent can't tip it.
-  double warmth(const Backend& b) const {
-    if (!b.listed.started || now - *b.listed.started >= s.cold_for) return 1;
-    const double age = (now - *b.listed.started).seconds() / s.cold_for.seconds();
-    const double sure = std::clamp(s.cold_from + (1 - s.cold_from) * age, s.cold_from, 1.0);
-    const bool hot = strain > 0.2 || usual_lateness > 0.5 * objective || pressure > 0.75;
-    // A fleet can tip within the 3 s that reports take: its line must bear 2.4 times its part in any case.
-    // Before its first round a coordinator can't tell.
-    if (!levels_at || s.tip_multiple * sure < std::max(2.4, hot ? 1.2 * tried / std::max(1.0, carried) : 0))
+  // ---- Health ----------------------------------------------------------------------------------------
+
+  // Fraction of its full weight that a starting backend may have: its guaranteed capacity squared, so
+  // that a short burst or a slow machine does not overload it. When a fleet collapses, proxies leave the
+  // backends that fail them and load the others whatever their weight; in an overloaded fleet a new
+  // backend therefore gets no traffic until it could bear even the share of a full weight of all tries.
+  double slow_start_factor(const Backend& b) const {
+    if (!b.entry.started || now - *b.entry.started >= settings.cold_for) return 1;
+    const double age = (now - *b.entry.started).seconds() / settings.cold_for.seconds();
+    const double guaranteed =
+        std::clamp(settings.cold_from + (1 - settings.cold_from) * age, settings.cold_from, 1.0);
+    const bool overloaded =
+        common_error_rate > 0.2 || median_latency > 0.5 * mean_objective || mean_utilization > 0.75;
+    // A fleet can collapse within the 3 s that reports take, so a backend must always bear 2.4 times
+    // its share. Nothing is known before the first round.
+    if (!admissions_updated_at || settings.tip_multiple * guaranteed <
+                                      std::max(2.4, overloaded ? 1.2 * try_rate / std::max(1.0, goodput) : 0))
       return 0;
-    return sure * sure * (1 - strain);
+    return guaranteed * guaranteed * (1 - common_error_rate);
   }
 
-  // Mean time to an answer; an error counts as two objectives. 0: too few to tell.
-  double lateness(const Tally& t) const {
-    return t.tries >= 6 ? (t.waited + t.errored * 2 * objective) / t.tries : 0;
+  // Mean time to an answer, with an error counted as two objectives; 0 if there are too few tries.
+  double penalized_latency(const TryStats& t) const {
+    return t.tries >= 6 ? (t.latency_sum + t.errored * 2 * mean_objective) / t.tries : 0;
   }
 
-  // A backend's signal: many errors beside its peers or answers that are missing (failed), or answers that
-  // come too late to count while its peers' do not (slow).
-  Verdict judge(const Backend& b) const {
-    // Evidence on a step counts once its effect can have been heard.
-    const Instant since = b.ladder.whole() ? Instant{} : b.ladder.changed + Span::seconds(1);
-    const Tally own = b.tally(2, since);
-    const double late = lateness(b.tally(4, std::max(since, fresh - s.report_every * 2)));
-    const double part = usual_lateness < 0.3 * objective ? 0.6 : 0.5;  // calm: weights stay as listed
-    const bool slow = late > std::max(part * objective, 1.3 * usual_lateness);
-    // Missing: no answer, since its line last moved, where 7 were due (by chance once in a thousand rounds),
-    // for over a line's usual wait. Where all lines are late the time to the latest stands still.
-    const double silent = (latest - std::max(b.line_moved + Span::seconds(1.5), b.answered)).seconds();
-    const bool missing = silent > 1.6 * cycle && silent * due[b.cut] * b.line >= 7;
-    // Errors: a third of four answers or more, and three times the fleet's share, unless the list has lost it
-    // too. In an overload all fail alike, and none is condemned.
-    const bool errors =
-        own.tries >= 4 && own.errored >= 3 && own.share() > std::max(0.3, b.dropped ? 0 : 3 * all_errors);
-    if (missing || errors) {
-      // Late answers shortly before mean a jam, which less work clears; prompt ones mean a break.
-      double answered = 0;
+  // A backend has failed if its error rate is far above its peers' or its answers are missing. It is
+  // slow if its answers take too long for the latency objective while its peers' do not.
+  Health assess(const Backend& b) const {
+    // Ignores samples from before the last step could take effect.
+    const Instant since = b.control.at_full_share() ? Instant{} : b.control.changed_at + Span::seconds(1);
+    const TryStats own = b.stats(2, since);
+    const double latency =
+        penalized_latency(b.stats(4, std::max(since, fresh_since - settings.report_every * 2)));
+    // A lightly loaded fleet tolerates more, so that its weights stay as listed.
+    const double fraction = median_latency < 0.3 * mean_objective ? 0.6 : 0.5;
+    const bool slow = latency > std::max(fraction * mean_objective, 1.3 * median_latency);
+    // Missing: no success for longer than the usual time between reports since the weight last
+    // changed, with 7 answers due (by chance once in a thousand rounds). If all reports are late,
+    // last_round does not advance.
+    const double silence =
+        (last_round - std::max(b.weight_changed + Span::seconds(1.5), b.last_success)).seconds();
+    const bool missing =
+        silence > 1.6 * report_interval && silence * tries_per_weight[b.subset] * b.table_weight >= 7;
+    // Failing: three errors or more in at least four tries, an error rate above 30 %, and three times
+    // the fleet's error rate unless the list has lost the backend too. In an overload all backends
+    // fail alike and none is removed.
+    const bool failing = own.tries >= 4 && own.errored >= 3 &&
+                         own.error_rate() > std::max(0.3, b.unlisted ? 0 : 3 * total_error_rate);
+    if (missing || failing) {
+      // Late answers shortly before indicate congestion, which less traffic relieves; prompt ones
+      // indicate a fault.
+      double recent_latency = 0;
       for (std::size_t k = b.samples.size(), n = 0; k-- > 0 && n < 4; ++n)
-        answered = std::max(answered, b.samples[k].tally.latency());
-      return answered > 0.6 * objective ? Verdict::slow : Verdict::failed;
+        recent_latency = std::max(recent_latency, b.samples[k].stats.mean_latency());
+      return recent_latency > 0.6 * mean_objective ? Health::slow : Health::failed;
     }
-    if (slow) return Verdict::slow;
-    const bool well =
-        own.tries >= 2 && own.share() < 0.2 && late < std::max(1.1 * usual_lateness, 0.35 * objective);
-    return well ? Verdict::well : Verdict::unknown;
+    if (slow) return Health::slow;
+    const bool healthy = own.tries >= 2 && own.error_rate() < 0.2 &&
+                         latency < std::max(1.1 * median_latency, 0.35 * mean_objective);
+    return healthy ? Health::healthy : Health::unknown;
   }
 
-  void judge_backends() {
-    if (cuts == 0) return;
-    double total = 0, out_weight = 0;
-    for (const auto& [id, b] : roster)
-      if (ready(b)) total += b.listed.weight, out_weight += b.listed.weight * (1 - b.ladder.share);
-    for (auto it = roster.begin(); it != roster.end();) {
+  void update_backends() {
+    if (subset_count == 0) return;
+    double total = 0, removed_weight = 0;
+    for (const auto& [id, b] : backends)
+      if (ready(b)) total += b.entry.weight, removed_weight += b.entry.weight * (1 - b.control.share);
+    for (auto it = backends.begin(); it != backends.end();) {
       Backend& b = it->second;
-      const double before = b.ladder.share;
-      Verdict verdict = judge(b);
-      // Panic bound: a view that condemns more than two fifths of the weight is likelier wrong than right,
-      // but for those that the list has lost too.
-      if (verdict >= Verdict::slow && out_weight + b.listed.weight * before > 0.4 * total && !b.dropped)
-        verdict = Verdict::unknown;
-      // Tried with a hundredth of the traffic, and in a large fleet with half of its own part.
-      b.ladder.advance(now, kSmall, verdict, std::min(0.5, 0.01 * total / b.listed.weight));
-      if (ready(b)) out_weight += b.listed.weight * (before - b.ladder.share);
-      it = b.dropped && b.ladder.share <= 0 ? roster.erase(it) : std::next(it);
+      const double previous_share = b.control.share;
+      Health health = assess(b);
+      // Panic threshold: a verdict against more than two fifths of the weight is more likely wrong
+      // than right, except for backends that the list has lost too.
+      if (health >= Health::slow && removed_weight + b.entry.weight * previous_share > 0.4 * total &&
+          !b.unlisted)
+        health = Health::unknown;
+      // A trial gets a hundredth of the traffic, in a large fleet half of the backend's full weight.
+      b.control.advance(now, kTargetSteps, health, std::min(0.5, 0.01 * total / b.entry.weight));
+      if (ready(b)) removed_weight += b.entry.weight * (previous_share - b.control.share);
+      it = b.unlisted && b.control.share <= 0 ? backends.erase(it) : std::next(it);
     }
   }
 
-  void judge_zones() {
-    std::map<ZoneId, std::pair<Tally, double>> heard;  // and the listed weight
+  void update_zones() {
+    std::map<ZoneId, std::pair<TryStats, double>> zone_stats;  // and the listed weight
     double total = 0;
-    for (const auto& [id, b] : roster) {
+    for (const auto& [id, b] : backends) {
       if (!ready(b)) continue;
-      auto& [tally, weight] = heard[b.listed.zone];
-      weight += b.listed.weight, total += b.listed.weight;
-      // A backend that is out on its own ladder is answered already.
-      if (b.ladder.whole()) tally += b.tally(kSamples, zones[b.listed.zone].changed);
+      auto& [stats, weight] = zone_stats[b.entry.zone];
+      weight += b.entry.weight, total += b.entry.weight;
+      // A backend with a reduced share is already handled on its own.
+      if (b.control.at_full_share()) stats += b.stats(kMaxSamples, zones[b.entry.zone].changed_at);
     }
-    for (auto& [zone, ladder] : zones) {
-      const auto& [own, weight] = heard[zone];
-      // Two must be left, and have room for what the zone gives up.
-      bool bad = own.tries >= 200 && own.share() > 0.05 && heard.size() > 2 &&
-                 pressure * total < 0.95 * (total - weight);
-      for (const auto& [other, its] : heard)
-        if (other != zone) bad = bad && own.share() > 2 * its.first.share() && zones[other].whole();
-      if (!bad) ladder.bad_since = now;
-      Verdict verdict = own.share() <= 0.05 ? Verdict::well : Verdict::unknown;
-      if (bad && now - ladder.bad_since >= Span::seconds(3)) verdict = Verdict::failed;
-      ladder.advance(now, kZone, verdict, weight > 0 ? std::min(1.0, 0.01 * total / weight) : 1);
+    for (auto& [zone, control] : zones) {
+      const auto& [own, weight] = zone_stats[zone];
+      // Two other zones must remain, with capacity for the traffic of this one.
+      bool failing = own.tries >= 200 && own.error_rate() > 0.05 && zone_stats.size() > 2 &&
+                     mean_utilization * total < 0.95 * (total - weight);
+      for (const auto& [other, other_stats] : zone_stats)
+        if (other != zone)
+          failing = failing && own.error_rate() > 2 * other_stats.first.error_rate() &&
+                    zones[other].at_full_share();
+      if (!failing) control.failing_since = now;
+      Health health = own.error_rate() <= 0.05 ? Health::healthy : Health::unknown;
+      if (failing && now - control.failing_since >= Span::seconds(3)) health = Health::failed;
+      control.advance(now, kZoneSteps, health, weight > 0 ? std::min(1.0, 0.01 * total / weight) : 1);
     }
   }
 
-  // A link is cut or slow when the tries on it fail or take long and another zone's proxies reach the same
-  // backends well. The post's own story: no backend is to blame, and the proxies keep to what they reach.
-  void judge_links() {
-    std::map<std::pair<ZoneId, ZoneId>, Tally> recent;
-    const Instant window = now - Span::seconds(3.5 * cycle);
+  // A link is failing or slow if its tries fail or take long while proxies of another zone reach the
+  // same backends well. The backends are not at fault, so the proxies of the zone are moved to the
+  // backends that they can reach.
+  void update_links() {
+    std::map<std::pair<ZoneId, ZoneId>, TryStats> recent;
+    const Instant window = now - Span::seconds(3.5 * report_interval);
     for (auto& [key, link] : links)
-      recent[key] = link.tally(3, std::max(window, link.ladder.changed + Span::seconds(1)));
+      recent[key] = link.stats(3, std::max(window, link.control.changed_at + Span::seconds(1)));
     for (auto& [key, link] : links) {
-      // Beside the best of the other ways there, since where a zone is cut off most of them fail; and, where
-      // it is slow, beside the best way of the same proxies, which may be slow themselves.
-      Tally best;
-      double prompt = 1e9;
-      for (const auto& [other, tally] : recent) {
-        if (tally.tries < 20 || (other.first == key.first) == (other.second == key.second)) continue;
+      // Error rates are compared with the best other link to the same zone, since most links to an
+      // isolated zone fail. Latencies are also compared with the best link from the same proxies,
+      // which may be slow themselves.
+      TryStats best;
+      double best_latency = 1e9;
+      for (const auto& [other, stats] : recent) {
+        if (stats.tries < 20 || (other.first == key.first) == (other.second == key.second)) continue;
         if (other.first == key.first)
-          prompt = std::min(prompt, tally.latency());
-        else if (best.tries <= 0 || tally.share() < best.share())
-          best = tally;
+          best_latency = std::min(best_latency, stats.mean_latency());
+        else if (best.tries <= 0 || stats.error_rate() < best.error_rate())
+          best = stats;
       }
-      const Tally own = recent[key];
-      // Two fifths of 40, while the others lose a fifth of that at most: chance does not do it. A trial must
-      // do about as well as the other ways, though a jam may slow them all.
-      const bool whole = link.ladder.whole();
-      const double usual = std::max(best.latency(), prompt);
-      const bool lost = own.share() > (whole ? 0.4 : 0.25) && own.share() > (whole ? 5 : 1.5) * best.share();
-      const bool slow = own.latency() > (whole ? 1.5 : 1.0) * usual + (whole ? 0.4 : 0.3) * objective;
-      Verdict verdict = own.tries >= 4 && !lost && !slow ? Verdict::well : Verdict::unknown;
-      if ((lost || slow) && best.tries > 0 && own.tries >= (whole ? 40 : 2)) verdict = Verdict::failed;
-      link.ladder.advance(now, kSmall, verdict, 0.1);
+      const TryStats own = recent[key];
+      // Two fifths of 40 tries lost, with at most a fifth of that rate elsewhere, does not happen by
+      // chance. A trial must do about as well as the other links, with some allowance since
+      // congestion may slow all of them.
+      const bool at_full_share = link.control.at_full_share();
+      const double expected = std::max(best.mean_latency(), best_latency);
+      const bool failing = own.error_rate() > (at_full_share ? 0.4 : 0.25) &&
+                           own.error_rate() > (at_full_share ? 5 : 1.5) * best.error_rate();
+      const bool slow = own.mean_latency() >
+                        (at_full_share ? 1.5 : 1.0) * expected + (at_full_share ? 0.4 : 0.3) * mean_objective;
+      Health health = own.tries >= 4 && !failing && !slow ? Health::healthy : Health::unknown;
+      if ((failing || slow) && best.tries > 0 && own.tries >= (at_full_share ? 40 : 2))
+        health = Health::failed;
+      link.control.advance(now, kTargetSteps, health, 0.1);
     }
   }
 
-  // ---- What is wanted ------------------------------------------------------------------------------
-
-  // One table for all where the channel can send it and its lines stay in use. Where not, the table is cut
-  // into a few, each with its part of every zone and kind, so that weights and ladders act in each as in the
-  // one: a line used under eight times in the keep-alive span keeps idle connections or opens new ones, and a
-  // table that takes over 3 s to send is late for every drain.
-  void cut_table() {
-    if (joined.empty()) return;
-    const auto size = static_cast<double>(joined.size());
-    const double usual = std::max(1.0, s.proxies / s.coordinators);
-    if (cuts == 0 && size < 0.5 * usual && now - *first_joined < Span::seconds(0.5))
-      return;  // too few to tell
+  // ---- Wanted tables and limits ----------------------------------------------------------------------
+
+  // Uses one table if the channel can send it in time and its backends stay in use. Otherwise the
+  // backends are partitioned into subsets with an equal part of each zone and weight, so that weights
+  // and share controllers act in each subset as in a single table. A backend used less than eight times
+  // per keep-alive period leaves idle connections or causes new ones, and a table that takes over 3 s to
+  // send delays every drain.
+  void partition_backends() {
+    if (proxies.empty()) return;
+    const auto size = static_cast<double>(proxies.size());
+    const double expected = std::max(1.0, settings.proxies / settings.coordinators);
+    // Too few proxies have joined to estimate the subset size.
+    if (subset_count == 0 && size < 0.5 * expected && now - *first_join < Span::seconds(0.5)) return;
     double rate = 0, n = 0;
-    for (const auto& [id, p] : joined) rate += p.rate;
-    for (const auto& [id, b] : roster) n += ready(b) ? 1 : 0;
-    const double in_use = rate / size * s.keepalive.seconds() / 8;
-    const double in_time = 3 * s.push_rate / std::max(usual, size) - s.per_message;
-    // Under 12 lines the loss of a cell or a kind weighs too unevenly; under 5 proxies tables are too many.
-    const double lines = rate > 0 ? std::max(12.0, std::min(in_use, in_time)) : n;
-    const auto fit = static_cast<std::size_t>(std::max(1.0, std::min(n / lines, std::max(usual, size) / 5)));
-    if (cuts != 0 && fit <= 2 * cuts && 2 * fit >= cuts) return;  // cutting anew costs every table
-    cuts = fit;
-    std::vector<Backend*> dealt;
-    for (auto& [id, b] : roster) dealt.push_back(&b);
-    // Coordinators cut differently, so that what is uneven in one evens out.
-    std::shuffle(dealt.begin(), dealt.end(), chance);
-    std::stable_sort(dealt.begin(), dealt.end(), [](auto* a, auto* b) {
-      return std::pair{a->listed.zone, a->listed.weight} < std::pair{b->listed.zone, b->listed.weight};
+    for (const auto& [id, p] : proxies) rate += p.rate;
+    for (const auto& [id, b] : backends) n += ready(b) ? 1 : 0;
+    const double in_use = rate / size * settings.keepalive.seconds() / 8;
+    const double in_time = 3 * settings.push_rate / std::max(expected, size) - settings.per_message;
+    // Below 12 backends the loss of a cell or a machine type affects the subsets too unevenly; below
+    // 5 proxies per table there are too many tables.
+    const double subset_size = rate > 0 ? std::max(12.0, std::min(in_use, in_time)) : n;
+    const auto fit =
+        static_cast<std::size_t>(std::max(1.0, std::min(n / subset_size, std::max(expected, size) / 5)));
+    // A new partition resends every table.
+    if (subset_count != 0 && fit <= 2 * subset_count && 2 * fit >= subset_count) return;
+    subset_count = fit;
+    std::vector<Backend*> shuffled;
+    for (auto& [id, b] : backends) shuffled.push_back(&b);
+    // Coordinators shuffle differently, so that their uneven subsets balance out.
+    std::shuffle(shuffled.begin(), shuffled.end(), rng);
+    std::stable_sort(shuffled.begin(), shuffled.end(), [](auto* a, auto* b) {
+      return std::pair{a->entry.zone, a->entry.weight} < std::pair{b->entry.zone, b->entry.weight};
     });
-    for (std::size_t k = 0; k < dealt.size(); ++k) dealt[k]->cut = k % cuts;
-    for (auto& [id, p] : joined) p.cut.reset();
-    due.assign(cuts, 0);
+    for (std::size_t k = 0; k < shuffled.size(); ++k) shuffled[k]->subset = k % subset_count;
+    for (auto& [id, p] : proxies) p.subset.reset();
+    tries_per_weight.assign(subset_count, 0);
   }
 
-  void want() {
-    wanted.clear();
-    if (cuts == 0) return;
-    std::vector<double> warm(cuts, 0);
-    for (const auto& [id, b] : roster) {
-      const double share = b.ladder.share * zones[b.listed.zone].share;
-      const double warmed = ready(b) ? warmth(b) : 0;
-      auto& lines = wanted[number_of(b.cut)].lines;
-      if (share * warmed > 0) lines[id] = b.listed.weight * share * warmed;
-      if (warmed >= 1) warm[b.cut] += b.listed.weight * share;
+  void compute_tables() {
+    wanted_tables.clear();
+    if (subset_count == 0) return;
+    std::vector<double> warm_weights(subset_count, 0);
+    for (const auto& [id, b] : backends) {
+      const double share = b.control.share * zones[b.entry.zone].share;
+      const double start_factor = ready(b) ? slow_start_factor(b) : 0;
+      auto& weights = wanted_tables[table_id(b.subset)].weights;
+      if (share * start_factor > 0) weights[id] = b.entry.weight * share * start_factor;
+      if (start_factor >= 1) warm_weights[b.subset] += b.entry.weight * share;
     }
-    // Never take away the last warm lines. A cut without any gets those of the one that has most; with none
-    // left anywhere the ladders no longer bind.
-    const auto most = std::max_element(warm.begin(), warm.end());
-    if (*most <= 0)
-      for (const auto& [id, b] : roster)
-        if (ready(b)) wanted[number_of(b.cut)].lines[id] = b.listed.weight * std::max(0.01, warmth(b));
-    auto fullest = wanted[number_of(static_cast<std::size_t>(most - warm.begin()))].lines;
-    for (std::size_t k = 0; k < cuts; ++k)
-      if (warm[k] <= 0) wanted[number_of(k)].lines.insert(fullest.begin(), fullest.end());
-    // A rising line waits until it is worth a message; a falling one does not.
-    for (auto& [table, want] : wanted)
-      for (auto& [id, weight] : want.lines) {
-        const auto line = present[table].lines.find(id);
-        const double was = line == present[table].lines.end() ? 0 : line->second;
-        const bool climbs = warmth(roster[id]) < 1 || roster[id].ladder.share < 1;
-        if (climbs && weight > was && weight < 1.2 * was) weight = was;
+    // The last warm backends are never removed. A subset without any gets the backends of the subset
+    // that has most; if none are left anywhere, the share controllers are ignored.
+    const auto warmest = std::max_element(warm_weights.begin(), warm_weights.end());
+    if (*warmest <= 0)
+      for (const auto& [id, b] : backends)
+        if (ready(b))
+          wanted_tables[table_id(b.subset)].weights[id] =
+              b.entry.weight * std::max(0.01, slow_start_factor(b));
+    auto fallback = wanted_tables[table_id(static_cast<std::size_t>(warmest - warm_weights.begin()))].weights;
+    for (std::size_t k = 0; k < subset_count; ++k)
+      if (warm_weights[k] <= 0) wanted_tables[table_id(k)].weights.insert(fallback.begin(), fallback.end());
+    // A small increase waits until it is worth a message; a decrease does not.
+    for (auto& [table, wanted_table] : wanted_tables)
+      for (auto& [id, weight] : wanted_table.weights) {
+        const auto row = sent_tables[table].weights.find(id);
+        const double previous = row == sent_tables[table].weights.end() ? 0 : row->second;
+        const bool restoring = slow_start_factor(backends[id]) < 1 || backends[id].control.share < 1;
+        if (restoring && weight > previous && weight < 1.2 * previous) weight = previous;
       }
-    if (wanted_levels.empty()) want_levels();
-    // A zone's proxies leave the shared table while a link of theirs is not whole, if warm lines are left.
+    if (wanted_admissions.empty()) compute_admissions();
+    // While a link of a zone has a reduced share, the proxies of that zone get a table of their own,
+    // provided that it keeps warm backends.
     for (const auto& [key, link] : links) {
-      if (link.ladder.whole()) continue;
-      for (std::size_t k = 0; k < cuts; ++k) {
-        Table silo{wanted[number_of(k)].lines, {}, {}, {}, 0};
-        double left = 0;
-        for (auto& [id, weight] : silo.lines) {
-          weight *= links[{key.first, roster[id].listed.zone}].ladder.share;
-          if (warmth(roster[id]) >= 1) left += weight;
+      if (link.control.at_full_share()) continue;
+      for (std::size_t k = 0; k < subset_count; ++k) {
+        Table zone_table{wanted_tables[table_id(k)].weights, {}, {}, {}, 0};
+        double remaining = 0;
+        for (auto& [id, weight] : zone_table.weights) {
+          weight *= links[{key.first, backends[id].entry.zone}].control.share;
+          if (slow_start_factor(backends[id]) >= 1) remaining += weight;
         }
-        std::erase_if(silo.lines, [](const auto& line) { return line.second <= 0; });
-        if (left > 0) wanted[number_of(k, 1 + key.first.value)] = std::move(silo);
+        std::erase_if(zone_table.weights, [](const auto& row) { return row.second <= 0; });
+        if (remaining > 0) wanted_tables[table_id(k, 1 + key.first.value)] = std::move(zone_table);
       }
     }
-    for (auto& [id, table] : wanted) table.levels = wanted_levels;
+    for (auto& [id, table] : wanted_tables) table.admissions = wanted_admissions;
   }
 
-  // Levels. Further tries stay as the proxies have them, after proof only: a try that may be followed is
-  // given up early, and what it leaves running beside its repeat tips a busy fleet over. In an overload
-  // operations are let in by billed value for their cost, up to what the fleet has shown it can carry.
-  void want_levels() {
-    const bool by_rate = s.admission_mode == AdmissionMode::rate;
-    wanted_levels.resize(s.operations.size(), Level{s.default_retries, by_rate ? kNoLevel : 1});
-    struct Wish {
+  // Computes admission limits and retries. Retries stay at the configured default, at most if
+  // unprocessed for operations that are not idempotent: a try that may be retried is given up early, and
+  // the work that it leaves running can overload a busy fleet. In an overload operations are admitted by
+  // billed value per cost, up to the capacity that the fleet has shown.
+  void compute_admissions() {
+    const bool by_rate = settings.admission_mode == AdmissionMode::rate;
+    wanted_admissions.resize(settings.operations.size(),
+                             Admission{settings.default_retries, by_rate ? kUnlimitedRate : 1});
+    struct OperationDemand {
       OperationId operation;
-      double cost, value;         // the settings tell no cost; the latency objective is their only hint of it
-      std::vector<double> rates;  // as last told
-      double part = 1;            // of their sum that comes
-      double told = 0, total = 0;
+      double cost, value;         // the settings give no cost, so the latency objective stands for it
+      std::vector<double> rates;  // as last reported
+      double fraction = 1;        // of the sum of the rates that really arrives
+      double reported = 0, total = 0;
     };
-    std::vector<Wish> wishes;
-    for (std::size_t k = 0; k < s.operations.size(); ++k) {
-      const Operation& op = s.operations[k];
-      wishes.push_back({id_of(k), op.latency_objective.seconds(), op.billed_value, {}});
-      const auto most = op.effect == Effect::idempotent ? RetryPolicy::two : RetryPolicy::if_unprocessed;
-      // In a general failure repeats feed it.
-      wanted_levels[k].tries = strain > 0.3 ? RetryPolicy::none : std::min(s.default_retries, most);
+    std::vector<OperationDemand> demands;
+    for (std::size_t k = 0; k < settings.operations.size(); ++k) {
+      const Operation& operation = settings.operations[k];
+      demands.push_back({operation_id(k), operation.latency_objective.seconds(), operation.billed_value, {}});
+      const auto max_retries =
+          operation.effect == Effect::idempotent ? RetryPolicy::two : RetryPolicy::if_unprocessed;
+      // In a general failure retries add to the overload.
+      wanted_admissions[k].retries =
+          common_error_rate > 0.3 ? RetryPolicy::none : std::min(settings.default_retries, max_retries);
     }
-    if (s.admission_mode == AdmissionMode::off) return;
-
-    double admitted = 0, admitted_cost = 0;  // a second, under the levels as they stand
-    double usual = 1e-3;                     // this coordinator's part of the traffic
-    for (const auto& [id, p] : joined) usual += p.rate;
-    for (std::size_t k = 0; k < wishes.size(); ++k)
-      if (!came[k].empty()) wishes[k].part = std::min(1.0, quantile({came[k].begin(), came[k].end()}, 0.5));
+    if (settings.admission_mode == AdmissionMode::off) return;
+
+    double admitted = 0, admitted_cost = 0;  // a second, under the current limits
+    double expected = 1e-3;                  // rate of this coordinator's proxies
+    for (const auto& [id, p] : proxies) expected += p.rate;
+    for (std::size_t k = 0; k < demands.size(); ++k)
+      if (!arrival_ratios[k].empty())
+        demands[k].fraction =
+            std::min(1.0, quantile({arrival_ratios[k].begin(), arrival_ratios[k].end()}, 0.5));
     for (const auto& [key, rate] : demand) {
-      Wish& wish = wishes[key.second.value];
-      const double level = wanted_levels[key.second.value].level;
-      const double in = wish.part * (by_rate ? std::min(rate, level) : rate * std::min(1.0, level));
-      wish.rates.push_back(rate), wish.told += rate, wish.total += wish.part * rate;
-      admitted += in, admitted_cost += in * wish.cost;
+      OperationDemand& item = demands[key.second.value];
+      const double limit = wanted_admissions[key.second.value].limit;
+      const double admitted_rate =
+          item.fraction * (by_rate ? std::min(rate, limit) : rate * std::min(1.0, limit));
+      item.rates.push_back(rate), item.reported += rate, item.total += item.fraction * rate;
+      admitted += admitted_rate, admitted_cost += admitted_rate * item.cost;
     }
     if (admitted <= 0) return;
-    // What the fleet can carry is what it carried for its use of processors, by the listed weight in use and
-    // this coordinator's part, which grows as proxies come back after a restart: the median of the last
-    // rounds without a jam, since a jam hides it. A jam keeps processors busy; errors in an idle fleet have
-    // another cause that levels do not cure.
+    // Capacity is the cost carried per unit of processor utilization, of listed weight in use and of
+    // this coordinator's part of the traffic, which grows as proxies return after a restart. It is the
+    // median over the last rounds without congestion, since congestion hides it. Congestion keeps
+    // processors busy; errors in an idle fleet have another cause that limits do not cure.
     double in_use = 0;
-    for (const auto& [id, b] : roster) in_use += b.ladder.share > 0 ? b.listed.weight * warmth(b) : 0;
-    const bool jammed = pressure > 0.7 && (strain > 0.1 || usual_lateness > 0.6 * objective);
-    if (pressure > 0.3 && in_use > 0 && (!jammed || able_log.empty()))  // below, too idle to tell
-      able_log.push_back(carried * admitted_cost / admitted / pressure / in_use / usual);
-    if (able_log.empty()) return;
-    if (able_log.size() > kSamples) able_log.pop_front();
-    // A trim for what that misses: dearer work, queues to clear, levels that let in less than they say.
-    if (jammed)
-      trim = std::max(0.5, trim * 0.75);
-    else if (trim < 1 || (limiting && pressure < 0.75))
-      trim = std::min(1.3, trim * 1.15);
-    // Beyond 0.78 of the processors the slower backends queue (0.85 and 0.72 did worse on most of 18 draws).
-    double allowed = 0.78 * trim * in_use * usual * quantile({able_log.begin(), able_log.end()}, 0.5);
+    for (const auto& [id, b] : backends)
+      in_use += b.control.share > 0 ? b.entry.weight * slow_start_factor(b) : 0;
+    const bool congested =
+        mean_utilization > 0.7 && (common_error_rate > 0.1 || median_latency > 0.6 * mean_objective);
+    // A lower utilization gives no useful estimate.
+    if (mean_utilization > 0.3 && in_use > 0 && (!congested || capacity_samples.empty()))
+      capacity_samples.push_back(goodput * admitted_cost / admitted / mean_utilization / in_use / expected);
+    if (capacity_samples.empty()) return;
+    if (capacity_samples.size() > kMaxSamples) capacity_samples.pop_front();
+    // Corrects for what the estimate misses: more expensive work, queues to clear, limits that admit
+    // less than stated.
+    if (congested)
+      correction = std::max(0.5, correction * 0.75);
+    else if (correction < 1 || (limiting && mean_utilization < 0.75))
+      correction = std::min(1.3, correction * 1.15);
+    // Above a utilization of 0.78 the slower backends queue.
+    double available_cost = 0.78 * correction * in_use * expected *
+                            quantile({capacity_samples.begin(), capacity_samples.end()}, 0.5);
     limiting = false;
-    std::stable_sort(wishes.begin(), wishes.end(),
-                     [](const Wish& a, const Wish& b) { return a.value / a.cost > b.value / b.cost; });
-    for (const Wish& w : wishes) {
-      const double share = w.total > 0 ? std::clamp(allowed / (w.total * w.cost), 0.02, 1.0) : 1;
-      allowed -= share * w.total * w.cost;
+    std::stable_sort(demands.begin(), demands.end(), [](const OperationDemand& a, const OperationDemand& b) {
+      return a.value / a.cost > b.value / b.cost;
+    });
+    for (const OperationDemand& w : demands) {
+      const double share = w.total > 0 ? std::clamp(available_cost / (w.total * w.cost), 0.02, 1.0) : 1;
+      available_cost -= share * w.total * w.cost;
       limiting = limiting || share < 1;
-      wanted_levels[w.operation.value].level = !by_rate    ? share
-                                               : share < 1 ? common_rate(w.rates, share * w.told)
-                                                           : kNoLevel;
+      wanted_admissions[w.operation.value].limit = !by_rate    ? share
+                                                   : share < 1 ? fair_rate_limit(w.rates, share * w.reported)
+                                                               : kUnlimitedRate;
     }
-    if (!limiting) trim = std::min(trim, 1.0);
+    if (!limiting) correction = std::min(correction, 1.0);
+  }
+
+  // ---- Orders ----------------------------------------------------------------------------------------
+
+  // Lines still in the channel, assuming half of the stated push rate, as on a slow day.
+  double current_backlog() const {
+    return std::max(0.0, channel_backlog - (now - channel_backlog_at).seconds() * settings.push_rate * 0.5);
   }
 
-  // ---- What is ordered -----------------------------------------------------------------------------
-
-  // Lines still in the channel, if it sends at half its stated pace, as on a slow day.
-  double queued() const { return std::max(0.0, queue - (now - queue_at).seconds() * s.push_rate * 0.5); }
-
-  // What may wait before orders that can be put off: a cut that a rule forces must arrive within the grace.
-  double allowance() const { return std::min(0.5 * s.backlog, 0.2 * s.drain_grace.seconds() * s.push_rate); }
-
-  // Sends a table's difference, or of it only what a rule forces where the channel has no room for more.
-  void send(TableId number, const Table& want, bool forced) {
-    Table& have = present[number];
-    std::vector<Order> orders, rest;
-    auto lines = want.lines;
-    for (const auto& [id, weight] : have.lines) lines.try_emplace(id, 0);
-    for (const auto& [id, weight] : lines) {
-      const auto line = have.lines.find(id);
-      const double was = line == have.lines.end() ? 0 : line->second;
-      const auto b = roster.find(id);
-      const bool must = weight < was && (b == roster.end() || !ready(b->second) || warmth(b->second) < 1);
-      if (std::abs(was - weight) > 1e-9) (must ? orders : rest).emplace_back(SetWeight{number, id, weight});
+  // How many lines may wait in the channel ahead of deferrable orders: a required removal must arrive
+  // within the drain grace.
+  double deferrable_backlog() const {
+    return std::min(0.5 * settings.backlog, 0.2 * settings.drain_grace.seconds() * settings.push_rate);
+  }
+
+  // Orders the difference between a table and what was sent. If the channel has no room, only required
+  // changes are ordered: removals and reductions of draining, gone or cold backends.
+  void send_table(TableId number, const Table& wanted_table, bool forced) {
+    Table& have = sent_tables[number];
+    std::vector<Order> orders, deferred;
+    auto weights = wanted_table.weights;
+    for (const auto& [id, weight] : have.weights) weights.try_emplace(id, 0);
+    for (const auto& [id, weight] : weights) {
+      const auto row = have.weights.find(id);
+      const double previous = row == have.weights.end() ? 0 : row->second;
+      const auto b = backends.find(id);
+      const bool required =
+          weight < previous && (b == backends.end() || !ready(b->second) || slow_start_factor(b->second) < 1);
+      if (std::abs(previous - weight) > 1e-9)
+        (required ? orders : deferred).emplace_back(SetWeight{number, id, weight});
     }
-    have.levels.resize(want.levels.size(), Level{RetryPolicy::none, -1});
-    for (std::size_t k = 0; k < want.levels.size(); ++k)
-      if (const Level& w = want.levels[k], &h = have.levels[k];
-          h.tries != w.tries || std::abs(h.level - w.level) >= 0.03 * w.level)
-        rest.emplace_back(SetAdmission{number, id_of(k), w.tries, w.level});
+    have.admissions.resize(wanted_table.admissions.size(), Admission{RetryPolicy::none, -1});
+    for (std::size_t k = 0; k < wanted_table.admissions.size(); ++k)
+      if (const Admission& w = wanted_table.admissions[k], &h = have.admissions[k];
+          h.retries != w.retries || std::abs(h.limit - w.limit) >= 0.03 * w.limit)
+        deferred.emplace_back(SetAdmission{number, operation_id(k), w.retries, w.limit});
     if (forced == orders.empty()) return;
 
-    auto& sent = have.messages;
-    while (!sent.empty() && now - sent.front() > s.messages_window) sent.pop_front();
-    const auto cost = [&](std::size_t n) { return have.users * (s.per_message + static_cast<double>(n)); };
-    const bool paced = now - have.sent_at >= Span::seconds(0.5);
-    const bool under = s.messages_most == 0 || static_cast<double>(sent.size()) < 0.6 * s.messages_most;
-    const bool room =
-        queued() + cost(orders.size() + rest.size()) <= (forced ? 0.8 * s.backlog : allowance());
-    if (have.users <= 0 || (room && (forced || (paced && under))))
-      orders.insert(orders.end(), rest.begin(), rest.end());
-    if (orders.empty() || (have.users > 0 && queued() + cost(orders.size()) > 0.9 * s.backlog)) return;
-    if (have.users > 0) sent.push_back(now), have.sent_at = now;
-    queue = queued() + cost(orders.size()), queue_at = now;
+    auto& sent = have.message_times;
+    while (!sent.empty() && now - sent.front() > settings.messages_window) sent.pop_front();
+    const auto cost = [&](std::size_t n) {
+      return have.proxy_count * (settings.per_message + static_cast<double>(n));
+    };
+    const bool interval_passed = now - have.last_sent >= Span::seconds(0.5);
+    const bool under_cap =
+        settings.messages_most == 0 || static_cast<double>(sent.size()) < 0.6 * settings.messages_most;
+    const bool room = current_backlog() + cost(orders.size() + deferred.size()) <=
+                      (forced ? 0.8 * settings.backlog : deferrable_backlog());
+    if (have.proxy_count <= 0 || (room && (forced || (interval_passed && under_cap))))
+      orders.insert(orders.end(), deferred.begin(), deferred.end());
+    if (orders.empty() ||
+        (have.proxy_count > 0 && current_backlog() + cost(orders.size()) > 0.9 * settings.backlog))
+      return;
+    if (have.proxy_count > 0) sent.push_back(now), have.last_sent = now;
+    channel_backlog = current_backlog() + cost(orders.size()), channel_backlog_at = now;
     for (const auto& order : orders) {
       out.push_back(order);
-      if (const auto* level = std::get_if<SetAdmission>(&order))
-        have.levels[level->operation.value] = {level->retries, level->limit};
-      const auto* line = std::get_if<SetWeight>(&order);
-      if (line == nullptr) continue;
-      have.lines[line->backend] = line->weight;
-      if (line->weight <= 0) have.lines.erase(line->backend);
-      const auto b = roster.find(line->backend);
-      if (b != roster.end() && number == number_of(b->second.cut))
-        b->second.line_moved = now, b->second.line = line->weight;
+      if (const auto* admission = std::get_if<SetAdmission>(&order))
+        have.admissions[admission->operation.value] = {admission->retries, admission->limit};
+      const auto* change = std::get_if<SetWeight>(&order);
+      if (change == nullptr) continue;
+      have.weights[change->backend] = change->weight;
+      if (change->weight <= 0) have.weights.erase(change->backend);
+      const auto b = backends.find(change->backend);
+      if (b != backends.end() && number == table_id(b->second.subset))
+        b->second.weight_changed = now, b->second.table_weight = change->weight;
     }
   }
 
-  // Forced cuts first, then the tables that have waited longest.
-  void emit() {
-    for (auto& [number, table] : present) table.users = 0;
-    for (const auto& [id, p] : joined)
-      if (p.bound) ++present[*p.bound].users;
+  // Required changes first, then the tables that have waited longest.
+  void send_changes() {
+    for (auto& [number, table] : sent_tables) table.proxy_count = 0;
+    for (const auto& [id, p] : proxies)
+      if (p.bound) ++sent_tables[*p.bound].proxy_count;
     std::vector<std::pair<Instant, TableId>> waiting;
-    for (const auto& [number, want] : wanted) {
-      send(number, want, true);
-      waiting.emplace_back(present[number].sent_at, number);
+    for (const auto& [number, wanted_table] : wanted_tables) {
+      send_table(number, wanted_table, true);
+      waiting.emplace_back(sent_tables[number].last_sent, number);
     }
     std::sort(waiting.begin(), waiting.end());
-    for (const auto& [last, number] : waiting) send(number, wanted[number], false);
+    for (const auto& [last, number] : waiting) send_table(number, wanted_tables[number], false);
   }
 
-  // Deals the proxies to the cuts by what they bring for what the cut's lines can take, the heaviest first,
-  // and binds all at once while the channel has room.
-  void bind() {
-    if (cuts == 0) return;
-    std::vector<double> load(cuts, 0), room(cuts, 1e-9);
-    for (std::size_t k = 0; k < cuts; ++k)
-      for (const auto& [id, weight] : wanted[number_of(k)].lines) room[k] += weight;
-    std::vector<Proxy*> open;
-    for (auto& [id, p] : joined) p.cut ? void(load[*p.cut] += p.rate) : open.push_back(&p);
-    std::stable_sort(open.begin(), open.end(), [](auto* a, auto* b) { return a->rate > b->rate; });
-    for (auto* p : open) {
+  // Assigns new proxies to subsets by their rate relative to the subset's weight, highest rate first,
+  // and binds as many as the channel has room for.
+  void bind_proxies() {
+    if (subset_count == 0) return;
+    std::vector<double> load(subset_count, 0), room(subset_count, 1e-9);
+    for (std::size_t k = 0; k < subset_count; ++k)
+      for (const auto& [id, weight] : wanted_tables[table_id(k)].weights) room[k] += weight;
+    std::vector<Proxy*> unassigned;
+    for (auto& [id, p] : proxies) p.subset ? void(load[*p.subset] += p.rate) : unassigned.push_back(&p);
+    std::stable_sort(unassigned.begin(), unassigned.end(),
+                     [](auto* a, auto* b) { return a->rate > b->rate; });
+    for (auto* p : unassigned) {
       std::size_t best = 0;
-      for (std::size_t k = 1; k < cuts; ++k)
+      for (std::size_t k = 1; k < subset_count; ++k)
         if ((load[k] + p->rate) / room[k] < (load[best] + p->rate) / room[best]) best = k;
-      p->cut = best, load[best] += p->rate;
+      p->subset = best, load[best] += p->rate;
     }
-    for (auto& [id, p] : joined) {
-      const TableId silo = number_of(*p.cut, 1 + p.zone.value);
-      const TableId table = wanted.contains(silo) ? silo : number_of(*p.cut);
-      const Table& have = present[table];
-      if (have.lines.empty() || p.bound == table) continue;
-      const double whole = s.per_message + 1 + static_cast<double>(have.lines.size() + have.levels.size());
-      if (queued() + whole > 0.8 * s.backlog) break;
+    for (auto& [id, p] : proxies) {
+      const TableId zone_table = table_id(*p.subset, 1 + p.zone.value);
+      const TableId table = wanted_tables.contains(zone_table) ? zone_table : table_id(*p.subset);
+      const Table& have = sent_tables[table];
+      if (have.weights.empty() || p.bound == table) continue;
+      const double binding_cost =
+          settings.per_message + 1 + static_cast<double>(have.weights.size() + have.admissions.size());
+      if (current_backlog() + binding_cost > 0.8 * settings.backlog) break;
       out.emplace_back(BindProxy{id, table});
       p.bound = table;
-      queue = queued() + whole, queue_at = now;
+      channel_backlog = current_backlog() + binding_cost, channel_backlog_at = now;
     }
   }
 
   std::vector<Order> handle(Instant at, const std::vector<Event>& events) {
     now = at;
     out.clear();
-    for (const auto& event : events) std::visit([this](const auto& e) { note(e); }, event);
-    hear();
-    if (s.explicit_subscription && !following && (!ask_at || now >= *ask_at)) {
-      ask_at = now + s.subscribe_timeout * 0.5;  // unanswered for half the time allowed: ask again
+    for (const auto& event : events) std::visit([this](const auto& e) { on_event(e); }, event);
+    process_reports();
+    if (settings.explicit_subscription && !subscribed && (!next_subscribe || now >= *next_subscribe)) {
+      next_subscribe = now + settings.subscribe_timeout * 0.5;  // retry after half of the timeout
       out.emplace_back(SubscribeToList{});
     }
-    cut_table();
-    judge_backends();
-    judge_zones();
-    want();
-    emit();
-    bind();
-    if (!wake_at || now >= *wake_at) {
-      wake_at = now + kTick;
-      out.emplace_back(SetTimer{kTick, TimerTag{0}});
+    partition_backends();
+    update_backends();
+    update_zones();
+    compute_tables();
+    send_changes();
+    bind_proxies();
+    if (!next_wake || now >= *next_wake) {
+      next_wake = now + kTickInterval;
+      out.emplace_back(SetTimer{kTickInterval, TimerTag{0}});
     }
     return std::move(out);
   }
 };
 
 PolicySnapshot Policy::snapshot(Instant now) const {
-  PolicySnapshot memory;
-  const auto rung = [now](const Ladder& l) {
-    return PolicySnapshot::ShareState{l.share,      l.reducing,      l.was_slow,
-                                      l.next - now, now - l.changed, l.failed_trials};
+  PolicySnapshot saved;
+  const auto state = [now](const ShareController& control) {
+    return PolicySnapshot::ShareState{
+        control.share,           control.reducing,         control.was_slow,
+        control.next_step - now, now - control.changed_at, control.failed_trials};
+  };
+  const auto significant = [](const ShareController& control) {
+    return !control.at_full_share() || control.failed_trials > 0;
   };
-  const auto worth = [](const Ladder& l) { return !l.whole() || l.failed_trials > 0; };
-  for (const auto& [zone, ladder] : state_->zones)
-    if (worth(ladder)) memory.zones[zone] = rung(ladder);
-  for (const auto& [id, b] : state_->roster)
-    if (worth(b.ladder)) memory.backends[id] = rung(b.ladder);
+  for (const auto& [zone, control] : state_->zones)
+    if (significant(control)) saved.zones[zone] = state(control);
+  for (const auto& [id, b] : state_->backends)
+    if (significant(b.control)) saved.backends[id] = state(b.control);
   for (const auto& [key, link] : state_->links)
-    if (worth(link.ladder)) memory.links[key] = rung(link.ladder);
-  memory.capacity_samples = {state_->able_log.begin(), state_->able_log.end()};
-  return memory;
+    if (significant(link.control)) saved.links[key] = state(link.control);
+  saved.capacity_samples = {state_->capacity_samples.begin(), state_->capacity_samples.end()};
+  return saved;
 }
 
-void Policy::restore(Instant now, const PolicySnapshot& memory) {
-  // Guards against pouring work back onto what another instance saw fail.
-  const auto take = [now](Ladder& mine, const PolicySnapshot::ShareState& r) {
-    const int failed_trials = std::max(mine.failed_trials, r.failed_trials);
-    if (r.share < mine.share || (r.reducing && mine.whole()))
-      mine = {r.share, r.reducing, now + r.next_step_in, now - r.since_change, now, 0, r.was_slow};
-    mine.failed_trials = failed_trials;
+void Policy::restore(Instant now, const PolicySnapshot& saved) {
+  // Keeps the lower share, so that no traffic returns to a target that another instance saw fail.
+  const auto merge = [now](ShareController& current, const PolicySnapshot::ShareState& r) {
+    const int failed_trials = std::max(current.failed_trials, r.failed_trials);
+    if (r.share < current.share || (r.reducing && current.at_full_share()))
+      current = {r.share, r.reducing, now + r.next_step_in, now - r.since_change, now, 0, r.was_slow};
+    current.failed_trials = failed_trials;
   };
-  for (const auto& [zone, rung] : memory.zones) take(state_->zones[zone], rung);
-  for (const auto& [key, rung] : memory.links) take(state_->links[key].ladder, rung);
-  for (const auto& [id, rung] : memory.backends) {
-    const auto listed = state_->roster.find(id);
-    take(listed == state_->roster.end() ? state_->recalled[id] : listed->second.ladder, rung);
+  for (const auto& [zone, state] : saved.zones) merge(state_->zones[zone], state);
+  for (const auto& [key, state] : saved.links) merge(state_->links[key].control, state);
+  for (const auto& [id, state] : saved.backends) {
+    const auto entry = state_->backends.find(id);
+    merge(entry == state_->backends.end() ? state_->restored[id] : entry->second.control, state);
   }
-  if (state_->able_log.empty())
-    for (const double able : memory.capacity_samples) state_->able_log.push_back(able);
-  while (state_->able_log.size() > kSamples) state_->able_log.pop_front();
+  if (state_->capacity_samples.empty())
+    for (const double capacity : saved.capacity_samples) state_->capacity_samples.push_back(capacity);
+  while (state_->capacity_samples.size() > kMaxSamples) state_->capacity_samples.pop_front();
 }
 
 Policy::Policy(Settings settings, std::uint64_t seed)
--- a/src/policy/policy.hpp
+++ b/src/policy/policy.hpp
@@ -1,5 +1,5 @@
-// Interface of the decision module: what it is told at its start, what it hears, what it orders.
-// Nothing here knows a wire; a host (the bench's adapter today) translates.
+// Interface of the decision module: its settings, the events it receives and the orders it returns. It knows
+// no wire format; a host translates between this interface and the outside.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,9 @@
 namespace gorsemount {
 
 enum class Effect { idempotent, fingerprinted, side_effecting };
+// Unit of an admission limit: a share of the demand, a rate per proxy, or no limits at all.
 enum class AdmissionMode { share, rate, off };
+// Retries that a proxy may make: none, only if the first try is known to be unprocessed, or up to one or two.
 enum class RetryPolicy : std::uint8_t { none = 0, if_unprocessed = 1, one = 2, two = 3 };
 
 struct Operation {
@@ -28,25 +30,25 @@
   std::vector<Operation> operations;
   AdmissionMode admission_mode = AdmissionMode::off;
   RetryPolicy default_retries = RetryPolicy::if_unprocessed;
-  bool explicit_subscription = false;
+  bool explicit_subscription = false;  // the module must subscribe to the list before it is sent
   Span report_every;
-  double max_report_rate = 0;  // report lines a second handed on at most; the rest waits
-  // The channel to the proxies, in lines.
-  double backlog = 0;
-  double push_rate = 0;
-  double per_message = 0;
-  int messages_most = 0;  // 0: no cap
+  double max_report_rate = 0;  // reports that the host passes on a second; the rest is delayed
+  // Channel to the proxies. Sizes are in lines; a line sets one weight or one admission limit.
+  double backlog = 0;      // capacity of its queue
+  double push_rate = 0;    // lines a second
+  double per_message = 0;  // overhead of a message, in lines
+  int messages_most = 0;   // per proxy and messages_window; 0: no limit
   Span messages_window;
-  double proxies = 0;  // over all coordinators
+  double proxies = 0;  // of all coordinators
   double coordinators = 1;
-  Span keepalive;  // a proxy closes connections that are idle this long
-  // Figures of the rules.
+  Span keepalive;  // proxies close connections that are idle for this long
+  // Safety limits.
   Span subscribe_timeout;
-  Span drain_grace;
-  bool removal_binds = true;  // false: the drain rule counts from `draining` only, not from `gone`
-  double cold_from = 0;
-  Span cold_for;
-  double tip_multiple = 0;  // a cold backend falls over at this many times its present capacity
+  Span drain_grace;           // time to remove a draining backend from all tables
+  bool removal_binds = true;  // false: only `draining` requires removal, `gone` does not
+  double cold_from = 0;       // capacity of a backend at its start, as a fraction
+  Span cold_for;              // time from its start to full capacity
+  double tip_multiple = 0;    // a cold backend collapses at this multiple of its present capacity
 };
 
 enum class Availability { ready, draining, gone };
@@ -58,7 +60,7 @@
     ZoneId zone;
     Availability availability = Availability::ready;
     double weight = 1;
-    std::optional<Instant> started;  // absent: long ago
+    std::optional<Instant> started;  // empty: long ago
   };
   ListScope scope = ListScope::full;
   std::vector<Entry> entries;
@@ -69,7 +71,7 @@
 struct ProxyJoined {
   ProxyId proxy;
   ZoneId zone;
-  double usual_rate = 0;  // invocations a second, not exact
+  double usual_rate = 0;  // invocations a second, approximate
 };
 struct ProxyLeft {
   ProxyId proxy;
@@ -79,9 +81,9 @@
   BackendId backend;
   int tries = 0;
   int errored = 0;
-  Span mean_latency;  // of the succeeded ones; zero if none
+  Span mean_latency;  // of the succeeded tries; zero if none
   Span interval;
-  std::optional<double> utilization;  // part of the backend's processors in use, as it last told
+  std::optional<double> utilization;  // fraction of the backend's processors in use, as last reported
 };
 struct DemandReport {
   ProxyId proxy;
@@ -95,27 +97,27 @@
 struct SetWeight {
   TableId table;
   BackendId backend;
-  double weight = 0;  // 0 removes the line
+  double weight = 0;  // 0 removes the backend from the table
 };
 struct BindProxy {
   ProxyId proxy;
-  TableId table;  // for every operation
+  TableId table;  // for all operations
 };
 struct SetAdmission {
   TableId table;
   OperationId operation;
   RetryPolicy retries = RetryPolicy::none;
-  double limit = 0;  // in the kind that the settings name
+  double limit = 0;  // in the unit of the admission mode
 };
-struct SubscribeToList {};  // subscribe to changes of the list
+struct SubscribeToList {};
 struct SetTimer {
   Span after;
   TimerTag tag;
 };
 using Order = std::variant<SetWeight, BindProxy, SetAdmission, SubscribeToList, SetTimer>;
 
-// What one instance knows that is worth more than its life, for the next one or for another beside it. Only
-// what is not whole. Spans count from when it was remembered; `next_step_in` may be below zero.
+// Learned state for a restarted or another instance. Holds only targets with a reduced share or failed
+// trials. Spans are relative to the time of the snapshot; `next_step_in` may be negative.
 struct PolicySnapshot {
   struct ShareState {
     double share = 1;
@@ -126,12 +128,12 @@
   };
   std::map<ZoneId, ShareState> zones;
   std::map<BackendId, ShareState> backends;
-  std::map<std::pair<ZoneId, ZoneId>, ShareState> links;  // from the proxies' zone to the backends'
-  std::vector<double>
-      capacity_samples;  // what full use of the fleet has carried, by listed weight; the last rounds
+  std::map<std::pair<ZoneId, ZoneId>, ShareState> links;  // keyed by proxy zone, backend zone
+  // Cost a second at full utilization per unit of listed weight, for the last rounds.
+  std::vector<double> capacity_samples;
 };
 
-// One coordinator's decisions. Instances share nothing.
+// The decisions of one coordinator. Instances share no state.
 class Policy {
  public:
   Policy(Settings settings, std::uint64_t seed);
@@ -139,13 +141,13 @@
   Policy& operator=(Policy&&) noexcept;
   ~Policy();
 
-  // All that came in at one time; the orders take effect in the order returned.
+  // Takes all events of one time; the orders take effect in the order returned.
   [[nodiscard]] std::vector<Order> handle(Instant now, const std::vector<Event>& events);
 
   [[nodiscard]] PolicySnapshot snapshot(Instant now) const;
-  // Takes over what another knew. The lower share counts, so a recall never raises anything; a backend that
-  // is not listed yet keeps its rung till it is.
-  void restore(Instant now, const PolicySnapshot& memory);
+  // Merges another instance's state. The lower share is kept, so this never raises a share; the state of a
+  // backend that is not listed is held until it is.
+  void restore(Instant now, const PolicySnapshot& saved);
 
  private:
   struct State;
--- a/src/simhost/host.hpp
+++ b/src/simhost/host.hpp
@@ -1,4 +1,4 @@
-// Hosts many instances of the module behind the bench's wire: one batch in, one reply out.
+// Runs several instances of the decision module for the simulator: one JSON batch in, one JSON reply out.
 #pragma once
 
 #include <array>
@@ -13,22 +13,22 @@
 
 class Host {
  public:
-  // Throws FieldError (or the JSON library's parse error) on what it can't read.
+  // Throws FieldError or the JSON library's parse error on malformed input.
   [[nodiscard]] std::string process_batch(const std::string& line);
 
  private:
   struct Instance {
-    std::optional<Policy> policy;  // absent: the module failed to start
-    std::string fault;
-    std::vector<Event> pending;  // of the batch at hand
+    std::optional<Policy> policy;  // empty: the module failed to start
+    std::string start_error;
+    std::vector<Event> pending;  // events of the current batch
   };
-  using Bank = std::vector<BackendListUpdate::Entry>;
+  using BackendList = std::vector<BackendListUpdate::Entry>;
 
-  void take(const Json& item, std::size_t place);
-  void answer(Instant now, std::uint64_t id, Instance& instance, Json& output);
+  void apply(const Json& item, std::size_t index);
+  void run(Instant now, std::uint64_t id, Instance& instance, Json& output);
 
   std::map<std::uint64_t, Instance> instances_;
-  std::array<std::optional<Bank>, 16> banks_;
+  std::array<std::optional<BackendList>, 16> backend_lists_;
 };
 
 }  // namespace gorsemount::simhost
--- a/src/simhost/main.cpp
+++ b/src/simhost/main.cpp
@@ -1,4 +1,5 @@
-// gorsemount_simhost: runs the decision module on the bench's wire, over standard input and output.
+// gorsemount_simhost: runs the decision module for the simulator, one JSON message a line on stdin and
+// stdout.
 #include <exception>
 #include <iostream>
 #include <string>
@@ -13,8 +14,8 @@
     if (line.empty()) continue;
     try {
       std::cout << host.process_batch(line) << '\n' << std::flush;
-    } catch (const std::exception& failure) {
-      std::cerr << "gorsemount_simhost: line " << number << ": " << failure.what() << '\n';
+    } catch (const std::exception& error) {
+      std::cerr << "gorsemount_simhost: line " << number << ": " << error.what() << '\n';
       return 1;
     }
   }
--- a/src/simhost/wire.cpp
+++ b/src/simhost/wire.cpp
@@ -6,22 +6,26 @@
 
 namespace {
 
-constexpr std::uint64_t kIdMost = 0xffffffffU;
-constexpr std::uint64_t kSmallMost = 0xffffU;
-constexpr std::uint64_t kCountMost = 0x7fffffffU;
-constexpr std::uint64_t kTokenMost = std::uint64_t{1} << 63U;
+constexpr std::uint64_t kMaxId = 0xffffffffU;
+constexpr std::uint64_t kMaxSmallId = 0xffffU;
+constexpr std::uint64_t kMaxCount = 0x7fffffffU;
+constexpr std::uint64_t kMaxTimerTag = std::uint64_t{1} << 63U;
 
-BackendId read_backend(const Fields& f) {
-  return BackendId{static_cast<std::uint32_t>(f.whole("backend", kIdMost))};
+BackendId read_backend(const Fields& fields) {
+  return BackendId{static_cast<std::uint32_t>(fields.whole("backend", kMaxId))};
 }
 
-ProxyId read_proxy(const Fields& f) {
-  return ProxyId{static_cast<std::uint16_t>(f.whole("client-lb", kSmallMost))};
+ProxyId read_proxy(const Fields& fields) {
+  return ProxyId{static_cast<std::uint16_t>(fields.whole("client-lb", kMaxSmallId))};
 }
 
-ZoneId read_zone(const Fields& f) { return ZoneId{static_cast<std::uint16_t>(f.whole("site", kSmallMost))}; }
+ZoneId read_zone(const Fields& fields) {
+  return ZoneId{static_cast<std::uint16_t>(fields.whole("site", kMaxSmallId))};
+}
 
-int read_count(const Fields& f, const char* key) { return static_cast<int>(f.whole(key, kCountMost)); }
+int read_count(const Fields& fields, const char* key) {
+  return static_cast<int>(fields.whole(key, kMaxCount));
+}
 
 }  // namespace
 
@@ -29,21 +33,21 @@
   std::vector<BackendListUpdate::Entry> entries;
   const Json& rows = snapshot.array("members-list");
   entries.reserve(rows.size());
-  for (std::size_t k = 0; k < rows.size(); ++k) {
-    const Fields f{rows[k], "members-list[" + std::to_string(k) + "]"};
+  for (std::size_t index = 0; index < rows.size(); ++index) {
+    const Fields fields{rows[index], "members-list[" + std::to_string(index) + "]"};
     BackendListUpdate::Entry entry;
-    entry.backend = read_backend(f);
-    entry.zone = read_zone(f);
-    entry.weight = f.number("w");
-    const auto availability = f.text("availability");
+    entry.backend = read_backend(fields);
+    entry.zone = read_zone(fields);
+    entry.weight = fields.number("w");
+    const auto availability = fields.text("availability");
     if (availability == "draining") {
       entry.availability = Availability::draining;
     } else if (availability == "gone") {
       entry.availability = Availability::gone;
     } else if (availability != "ready") {
-      f.fail("availability", "is not known: " + availability);
+      fields.fail("availability", "is not known: " + availability);
     }
-    const auto started = f.maybe_number("boot-time-s");
+    const auto started = fields.maybe_number("boot-time-s");
     if (started && *started != 0) entry.started = Instant::at_seconds(*started);
     entries.push_back(entry);
   }
@@ -59,52 +63,56 @@
   registry.fail("scope", "is not known: " + scope);
 }
 
-std::optional<Event> read_event(const std::string& kind, const Fields& f) {
-  if (kind == "alarm") return TimerFired{TimerTag{f.whole("tag", kTokenMost)}};
-  if (kind == "checked-in") return ProxyJoined{read_proxy(f), read_zone(f), f.number("w")};
-  if (kind == "disconnected") return ProxyLeft{read_proxy(f)};
+std::optional<Event> read_event(const std::string& kind, const Fields& fields) {
+  if (kind == "alarm") return TimerFired{TimerTag{fields.whole("tag", kMaxTimerTag)}};
+  if (kind == "checked-in") return ProxyJoined{read_proxy(fields), read_zone(fields), fields.number("w")};
+  if (kind == "disconnected") return ProxyLeft{read_proxy(fields)};
   if (kind == "digest") {
-    BackendReport r;
-    r.proxy_zone = read_zone(f);
-    r.backend = read_backend(f);
-    r.tries = read_count(f, "many");
-    r.errored = read_count(f, "lost");
-    r.mean_latency = f.span("cost-time-s");
-    r.interval = f.span("elapsed-s");
-    if (const auto load = f.maybe_object("load")) r.utilization = load->maybe_number("cpu");
-    return r;
+    BackendReport report;
+    report.proxy_zone = read_zone(fields);
+    report.backend = read_backend(fields);
+    report.tries = read_count(fields, "many");
+    report.errored = read_count(fields, "lost");
+    report.mean_latency = fields.span("cost-time-s");
+    report.interval = fields.span("elapsed-s");
+    if (const auto load = fields.maybe_object("load")) report.utilization = load->maybe_number("cpu");
+    return report;
   }
   if (kind == "ingress") {
-    DemandReport r;
-    r.proxy = read_proxy(f);
-    r.operation = OperationId{static_cast<std::uint8_t>(f.whole("service", 255))};
-    r.arrived = read_count(f, "many");
-    r.interval = f.span("elapsed-s");
-    return r;
+    DemandReport report;
+    report.proxy = read_proxy(fields);
+    report.operation = OperationId{static_cast<std::uint8_t>(fields.whole("service", 255))};
+    report.arrived = read_count(fields, "many");
+    report.interval = fields.span("elapsed-s");
+    return report;
   }
   return std::nullopt;
 }
 
 Json write_order(std::uint64_t instance, const Order& order) {
-  const auto mask_of = [](OperationId op) { return std::uint64_t{1} << op.value; };
+  const auto mask_of = [](OperationId operation) { return std::uint64_t{1} << operation.value; };
   struct Writer {
     decltype(mask_of)& mask;
-    Json operator()(const SetWeight& o) const {
-      return {{"t", "set-weight"}, {"sheet", o.table.value}, {"backend", o.backend.value}, {"w", o.weight}};
+    Json operator()(const SetWeight& order) const {
+      return {{"t", "set-weight"},
+              {"sheet", order.table.value},
+              {"backend", order.backend.value},
+              {"w", order.weight}};
     }
-    Json operator()(const BindProxy& o) const {
-      return {{"t", "subscribe-to"}, {"client-lb", o.proxy.value}, {"sheet", o.table.value}, {"mask", 0}};
+    Json operator()(const BindProxy& order) const {
+      return {
+          {"t", "subscribe-to"}, {"client-lb", order.proxy.value}, {"sheet", order.table.value}, {"mask", 0}};
     }
-    Json operator()(const SetAdmission& o) const {
+    Json operator()(const SetAdmission& order) const {
       return {{"t", "throttle"},
-              {"sheet", o.table.value},
-              {"mask", mask(o.operation)},
-              {"how", static_cast<int>(o.retries)},
-              {"quota", o.limit}};
+              {"sheet", order.table.value},
+              {"mask", mask(order.operation)},
+              {"how", static_cast<int>(order.retries)},
+              {"quota", order.limit}};
     }
     Json operator()(const SubscribeToList&) const { return {{"t", "stream-changes"}, {"on", true}}; }
-    Json operator()(const SetTimer& o) const {
-      return {{"t", "remind"}, {"from-now-s", o.after.seconds()}, {"tag", o.tag.value}};
+    Json operator()(const SetTimer& order) const {
+      return {{"t", "remind"}, {"from-now-s", order.after.seconds()}, {"tag", order.tag.value}};
     }
   };
   Json json = std::visit(Writer{mask_of}, order);
--- a/src/simhost/wire.hpp
+++ b/src/simhost/wire.hpp
@@ -1,4 +1,4 @@
-// The bench's JSON wire to the module's types and back. Wire names end here.
+// Converts between the simulator's JSON messages and the decision module's types.
 #pragma once
 
 #include <optional>
@@ -13,7 +13,7 @@
 [[nodiscard]] std::vector<BackendListUpdate::Entry> read_entries(const Fields& snapshot);
 [[nodiscard]] ListScope read_scope(const Fields& registry);
 
-// One event for a module; nothing for kinds that the module has no use for.
+// Empty for kinds of events that the module does not use.
 [[nodiscard]] std::optional<Event> read_event(const std::string& kind, const Fields& fields);
 
 [[nodiscard]] Json write_order(std::uint64_t instance, const Order& order);
