--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -283,7 +283,7 @@
   Instant now = Instant::at_seconds(1000);
   BackendListUpdate full_list{ListScope::cached, {}};
   for (unsigned k = 0; k < 12; ++k) full_list.entries.push_back(PolicyFixture::entry(k));
-  std::vector<Event> events{all};
+  std::vector<Event> events{full_list};
   for (std::uint16_t p = 0; p < 200; ++p)
     events.emplace_back(ProxyJoined{ProxyId{p}, ZoneId{static_cast<std::uint16_t>(p % 3)}, 0.6});
   std::mt19937 rng{5};
--- a/tests/rules_model_test.cpp
+++ b/tests/rules_model_test.cpp
@@ -78,7 +78,7 @@
     for (const auto& [p, table] : bound_) used.insert(table);
     for (const auto table : used) check(now, tables_[table]);
     // A mass reconnect's bindings may take two seconds in the channel; until then a proxy uses its former
-    // table. channel.
+    // table.
     for (const auto& [p, since] : joined_) {
       EXPECT_TRUE(bound_.contains(p) || now - since < Span::seconds(2)) << "a proxy is not bound to a table";
     }
