--- a/src/simhost/host.cpp
+++ b/src/simhost/host.cpp
@@ -34,12 +34,12 @@
 
   // Lists are shared by all instances; a new list replaces the former one of its number.
   if (kind == "snapshot-rows") {
-    backend_lists_[fields.whole("bank", backend_lists_.size() - 1)] = read_entries(fields);
+    backend_lists_[fields.unsigned_integer("bank", backend_lists_.size() - 1)] = read_entries(fields);
     return;
   }
   if (kind == "provision") {
-    const std::uint64_t id = fields.whole("i", kMaxInstanceId);
-    const std::uint64_t seed = fields.whole("rng-seed", ~std::uint64_t{0});
+    const std::uint64_t id = fields.unsigned_integer("i", kMaxInstanceId);
+    const std::uint64_t seed = fields.unsigned_integer("rng-seed", ~std::uint64_t{0});
     Settings settings = read_settings(fields.object("config"));
     Instance created;
     try {
@@ -52,18 +52,18 @@
   }
 
   const auto target_instance = [&]() -> Instance* {
-    const auto it = instances_.find(fields.whole("i", kMaxInstanceId));
+    const auto it = instances_.find(fields.unsigned_integer("i", kMaxInstanceId));
     if (it == instances_.end()) fields.fail("i", "names an instance that is not running");
     return &it->second;
   };
   if (kind == "crash-now") {
     target_instance();
-    instances_.erase(fields.whole("i", kMaxInstanceId));
+    instances_.erase(fields.unsigned_integer("i", kMaxInstanceId));
   } else if (kind == "registry") {
     BackendListUpdate update;
     update.scope = read_scope(fields);
     if (update.scope != ListScope::failed) {
-      const auto& backend_list = backend_lists_[fields.whole("bank", backend_lists_.size() - 1)];
+      const auto& backend_list = backend_lists_[fields.unsigned_integer("bank", backend_lists_.size() - 1)];
       if (!backend_list) fields.fail("bank", "names a list that was not received");
       update.entries = *backend_list;
     }
--- a/src/simhost/wire.cpp
+++ b/src/simhost/wire.cpp
@@ -12,19 +12,19 @@
 constexpr std::uint64_t kMaxTimerTag = std::uint64_t{1} << 63U;
 
 BackendId read_backend(const Fields& fields) {
-  return BackendId{static_cast<std::uint32_t>(fields.whole("backend", kMaxId))};
+  return BackendId{static_cast<std::uint32_t>(fields.unsigned_integer("backend", kMaxId))};
 }
 
 ProxyId read_proxy(const Fields& fields) {
-  return ProxyId{static_cast<std::uint16_t>(fields.whole("client-lb", kMaxSmallId))};
+  return ProxyId{static_cast<std::uint16_t>(fields.unsigned_integer("client-lb", kMaxSmallId))};
 }
 
 ZoneId read_zone(const Fields& fields) {
-  return ZoneId{static_cast<std::uint16_t>(fields.whole("site", kMaxSmallId))};
+  return ZoneId{static_cast<std::uint16_t>(fields.unsigned_integer("site", kMaxSmallId))};
 }
 
 int read_count(const Fields& fields, const char* key) {
-  return static_cast<int>(fields.whole(key, kMaxCount));
+  return static_cast<int>(fields.unsigned_integer(key, kMaxCount));
 }
 
 }  // namespace
@@ -47,7 +47,7 @@
     } else if (availability != "ready") {
       fields.fail("availability", "is not known: " + availability);
     }
-    const auto started = fields.maybe_number("boot-time-s");
+    const auto started = fields.optional_number("boot-time-s");
     if (started && *started != 0) entry.started = Instant::at_seconds(*started);
     entries.push_back(entry);
   }
@@ -64,7 +64,7 @@
 }
 
 std::optional<Event> read_event(const std::string& kind, const Fields& fields) {
-  if (kind == "alarm") return TimerFired{TimerTag{fields.whole("tag", kMaxTimerTag)}};
+  if (kind == "alarm") return TimerFired{TimerTag{fields.unsigned_integer("tag", kMaxTimerTag)}};
   if (kind == "checked-in") return ProxyJoined{read_proxy(fields), read_zone(fields), fields.number("w")};
   if (kind == "disconnected") return ProxyLeft{read_proxy(fields)};
   if (kind == "digest") {
@@ -75,13 +75,13 @@
     report.errored = read_count(fields, "lost");
     report.mean_latency = fields.span("cost-time-s");
     report.interval = fields.span("elapsed-s");
-    if (const auto load = fields.maybe_object("load")) report.utilization = load->maybe_number("cpu");
+    if (const auto load = fields.optional_object("load")) report.utilization = load->optional_number("cpu");
     return report;
   }
   if (kind == "ingress") {
     DemandReport report;
     report.proxy = read_proxy(fields);
-    report.operation = OperationId{static_cast<std::uint8_t>(fields.whole("service", 255))};
+    report.operation = OperationId{static_cast<std::uint8_t>(fields.unsigned_integer("service", 255))};
     report.arrived = read_count(fields, "many");
     report.interval = fields.span("elapsed-s");
     return report;
