--- a/src/coordinator/baseline.cpp
+++ b/src/coordinator/baseline.cpp
@@ -2,7 +2,7 @@
 
 namespace gorsemount::coordinator {
 
-Decide fixed_weights() {
+DecisionMaker fixed_weights() {
   return [](Instant, const std::vector<Event>& events) {
     std::vector<Order> orders;
     for (const auto& event : events) {
@@ -18,7 +18,7 @@
   };
 }
 
-Decide zone_local() {
+DecisionMaker zone_local() {
   return [](Instant, const std::vector<Event>& events) {
     std::vector<Order> orders;
     for (const auto& event : events) {
--- a/src/coordinator/remember.cpp
+++ b/src/coordinator/state_transfer.cpp
@@ -69,8 +69,8 @@
     if (const auto started = evidence_.started(id)) f.times["started"] = *started;
     return f;
   };
-  if (decide_.remember) {
-    const Memory m = decide_.remember(now_);
+  if (decide_.export_state) {
+    const Memory m = decide_.export_state(now_);
     for (const auto& [zone, rung] : m.zones)
       if (zone.value < s_.zones.size()) all[{Kind::zone_ladder, s_.zones[zone.value]}] = of_rung(rung, now_);
     for (const auto& [key, rung] : m.links)
@@ -148,15 +148,15 @@
   return all;
 }
 
-bool Coordinator::zone_moves() const {
+bool Coordinator::zone_shift_in_progress() const {
   if (person_next_ && !persons_.zones().empty()) return true;
-  if (!decide_.remember) return false;
-  const Memory m = decide_.remember(now_);
+  if (!decide_.export_state) return false;
+  const Memory m = decide_.export_state(now_);
   return std::any_of(m.zones.begin(), m.zones.end(),
                      [](const auto& row) { return row.second.falling || row.second.share < 1; });
 }
 
-void Coordinator::absorb(const Recalled& e) {
+void Coordinator::absorb(const FactsReceived& e) {
   Memory memory;
   std::map<std::string, std::uint64_t> sent, held;
   const auto zone_at = [&](const std::string& name) -> std::optional<ZoneId> {
@@ -168,11 +168,11 @@
     for (std::size_t k = 0; k < s_.groups.size(); ++k)
       if (s_.groups[k].name == name) return ProxyId{static_cast<std::uint16_t>(k)};
     for (std::size_t k = 0; k < s_.forwarders.size(); ++k)
-      if (s_.forwarders[k].name == name) return ProxyId{static_cast<std::uint16_t>(kFirstForwarder + k)};
+      if (s_.forwarders[k].name == name) return ProxyId{static_cast<std::uint16_t>(kFirstForwarderId + k)};
     return {};
   };
   bool persons = false;
-  own_memory_ = own_memory_ || e.own;
+  own_memory_ = own_memory_ || e.from_previous_run;
   for (const Entry& entry : e.facts) {
     const Fact& f = entry.fact;
     const std::string& name = entry.subject.name;
@@ -224,16 +224,18 @@
       case Kind::person_weight:
         if (const auto until = time_of(f, "until");
             until && ordered && *until > now_ && figure(f, "weight", 0) > 0)
-          persons |= persons_.recall(name, Persons::Weight{figure(f, "weight", 1), *until, *ordered});
+          persons |=
+              persons_.recall(name, OperatorOverrides::Weight{figure(f, "weight", 1), *until, *ordered});
         break;
       case Kind::person_out:
-        if (ordered) persons |= persons_.recall(name, Persons::Out{figure(f, "out", 0) > 0, *ordered});
+        if (ordered)
+          persons |= persons_.recall(name, OperatorOverrides::Out{figure(f, "out", 0) > 0, *ordered});
         break;
       case Kind::person_zone:
         if (ordered && zone_at(name))
           persons |= persons_.recall(
-              name,
-              Persons::Zone{figure(f, "down", 0) > 0, std::clamp(figure(f, "from", 1), 0.0, 1.0), *ordered});
+              name, OperatorOverrides::Zone{figure(f, "down", 0) > 0,
+                                            std::clamp(figure(f, "from", 1), 0.0, 1.0), *ordered});
         break;
       case Kind::hold:
         if (ordered && (!hold_ordered_ || *hold_ordered_ < *ordered))
@@ -243,7 +245,7 @@
         if (const auto proxy = proxy_at(name);
             proxy && !is_forwarder(*proxy) && !led_elsewhere_.contains(*proxy))
           if (const auto when = time_of(f, "seen"); when && now_ - *when < s_.group_idle)
-            absorb(LookedUp{*proxy});
+            absorb(GroupLookup{*proxy});
         break;
       case Kind::group_table:
       case Kind::table_lines:
@@ -255,8 +257,8 @@
   for (const auto& [name, version] : sent)
     if (const auto proxy = proxy_at(name))
       half_sent_[*proxy] = !held.contains(name) || held.at(name) != version;
-  if (decide_.recall && (!memory.zones.empty() || !memory.links.empty() || !memory.able.empty()))
-    decide_.recall(now_, memory);
+  if (decide_.import_state && (!memory.zones.empty() || !memory.links.empty() || !memory.able.empty()))
+    decide_.import_state(now_, memory);
   if (persons) person_next_ = persons_.next_change(now_);
   for (const auto& [id, row] : rows_)
     if (persons || past_.contains(row.entry.name)) touched_.insert(id);
@@ -296,7 +298,7 @@
   if (found == found_.end()) return table.lines;
   std::map<BackendId, double> lines;
   for (const auto& [name, weight] : found->second.lines) {
-    const auto id = id_of(name);
+    const auto id = backend_id(name);
     const auto row = id ? rows_.find(*id) : rows_.end();
     if (row == rows_.end() || !row->second.listed) continue;
     if (row->second.told && (!row->second.counts(now_, s_.removal_binds) || !table.lines.contains(*id)))
@@ -324,13 +326,13 @@
 
 // ---- Groups that another controller leads -----------------------------------------------------------------
 
-void Coordinator::absorb(const GroupLed& e) {
-  if (e.group.value >= s_.groups.size() || led_elsewhere_.contains(e.group) != e.here) return;
-  if (e.here) {
+void Coordinator::absorb(const GroupLeadership& e) {
+  if (e.group.value >= s_.groups.size() || led_elsewhere_.contains(e.group) != e.locally_led) return;
+  if (e.locally_led) {
     led_elsewhere_.erase(e.group);
     if (const auto seen = group_seen_.find(e.group);
         seen != group_seen_.end() && now_ - seen->second < s_.group_idle)
-      absorb(LookedUp{e.group});
+      absorb(GroupLookup{e.group});
     return;
   }
   // What it has stays in force till its new leader is heard.
@@ -341,12 +343,12 @@
   channel_.leave(e.group), bound_.erase(e.group);
 }
 
-void Coordinator::absorb(const Followed& e) {
+void Coordinator::absorb(const LeaderTable& e) {
   if (!led_elsewhere_.contains(e.group) || !e.fresh) return;  // not fresh: what stands, stands
   Table table;
   table.made = now_;
   for (const auto& [name, weight] : e.lines)
-    if (const auto id = id_of(name); id && weight > 0) table.lines[*id] = weight;
+    if (const auto id = backend_id(name); id && weight > 0) table.lines[*id] = weight;
   for (const auto& [tries, level] : e.levels)
     table.levels.push_back({static_cast<FurtherTries>(std::clamp(tries, 0, 3)), std::clamp(level, 0.0, 1.0)});
   if (table.lines.empty()) return;
--- a/src/coordinator/zones.cpp
+++ b/src/coordinator/zone_spillover.cpp
@@ -48,7 +48,7 @@
     if (const auto* d = std::get_if<DemandReport>(&event);
         d != nullptr && d->operation.value < classes.size() && d->over > Span{}) {
       const bool front = is_forwarder(d->proxy);
-      const std::size_t place = front ? d->proxy.value - kFirstForwarder : d->proxy.value;
+      const std::size_t place = front ? d->proxy.value - kFirstForwarderId : d->proxy.value;
       if (place >= (front ? s_.forwarders.size() : s_.groups.size())) continue;
       const ZoneId zone = front ? s_.forwarders[place].zone : s_.groups[place].zone;
       const double rate = d->arrived / d->over.seconds();
@@ -83,14 +83,14 @@
   for (std::size_t z = 0; z < zones; ++z)
     now[z].pressure = busy[z].second > 0 ? busy[z].first / busy[z].second : 0;
   spill::Cut cut;
-  if (decide_.remember)
-    for (const auto& [link, rung] : decide_.remember(now_).links)
+  if (decide_.export_state)
+    for (const auto& [link, rung] : decide_.export_state(now_).links)
       if (rung.share < kLinkGone) cut.emplace(link.first.value, link.second.value);
   const auto d = spill_->decide(now_, now, classes, trips(reports), cut);
   if (d.tiers_doubted != tiers_doubted_) {
     for (std::size_t z = 0; z < d.tiers_doubted.size(); ++z)
       if (d.tiers_doubted[z] && (tiers_doubted_.empty() || !tiers_doubted_[z]))
-        note(Note::Weight::warning, "tiers_doubted", {{"zone", s_.zones[z]}});
+        note(LogEvent::Severity::warning, "tiers_doubted", {{"zone", s_.zones[z]}});
     tiers_doubted_ = d.tiers_doubted;
   }
   if (d.strain != strain_) {
@@ -101,7 +101,7 @@
       if (persons_.drained(s_.zones[z])) drained += (drained.empty() ? "" : " ") + s_.zones[z];
     }
     // A person's drain stands all the same: whoever ordered it is told what it costs now.
-    note(Note::Weight::warning, d.strain ? "strain_began" : "strain_over",
+    note(LogEvent::Severity::warning, d.strain ? "strain_began" : "strain_over",
          {{"zones_lost", lost}, {"drained_by_person", drained}});
     strain_ = d.strain;
   }
@@ -116,8 +116,8 @@
   std::map<std::pair<TableId, ZoneId>, double> share;
   std::map<ZoneId, double> all;
   for (const auto& [proxy, table] : bound_) {
-    const ZoneId zone =
-        is_forwarder(proxy) ? s_.forwarders[proxy.value - kFirstForwarder].zone : s_.groups[proxy.value].zone;
+    const ZoneId zone = is_forwarder(proxy) ? s_.forwarders[proxy.value - kFirstForwarderId].zone
+                                            : s_.groups[proxy.value].zone;
     const double rate = attendance_.usual_rate(proxy);
     share[{table, zone}] += rate, all[zone] += rate;
   }
--- a/src/shared_fleet/part.cpp
+++ b/src/shared_fleet/part.cpp
@@ -7,10 +7,10 @@
 namespace gorsemount::shared_fleet {
 
 using coordinator::is_forwarder;
-using coordinator::kFirstForwarder;
+using coordinator::kFirstForwarderId;
 
 cluster::ShardId Part::shard_of(ProxyId proxy, const coordinator::Settings& s) const {
-  return cluster_->shard_of(is_forwarder(proxy) ? s.forwarders[proxy.value - kFirstForwarder].name
+  return cluster_->shard_of(is_forwarder(proxy) ? s.forwarders[proxy.value - kFirstForwarderId].name
                                                 : s.groups[proxy.value].name);
 }
 
@@ -20,7 +20,7 @@
   auto facts = cluster_->knowledge().believed(now);
   if (facts.empty()) return;
   turn.recalled = facts.size();
-  turn.inputs.insert(turn.inputs.begin(), coordinator::Recalled{std::move(facts)});
+  turn.inputs.insert(turn.inputs.begin(), coordinator::FactsReceived{std::move(facts)});
 }
 
 Turn Part::look(Instant now, const coordinator::Settings& s) {
@@ -32,10 +32,10 @@
     if (was != groups_.end() && was->second == here) continue;
     groups_[id] = here;
     if (here) recall(now, turn);
-    turn.inputs.emplace_back(coordinator::GroupLed{id, here});
+    turn.inputs.emplace_back(coordinator::GroupLeadership{id, here});
   }
   for (std::size_t k = 0; k < s.forwarders.size(); ++k) {
-    const ProxyId id{static_cast<std::uint16_t>(kFirstForwarder + k)};
+    const ProxyId id{static_cast<std::uint16_t>(kFirstForwarderId + k)};
     const auto term = cluster_->leads(shard_of(id, s), now);
     auto& was = led_[id];
     if (was == term) continue;
@@ -50,17 +50,17 @@
   Turn turn;
   auto& knowledge = cluster_->knowledge();
   changed = knowledge.observe(now, core.facts()) > 0;
-  cluster_->keep(core.zone_moves());
+  cluster_->keep(core.zone_shift_in_progress());
   std::vector<recovery::Entry> at_once;
   for (auto& entry : knowledge.take_news())
     if (recovery::acts_at_once(entry.subject.kind)) at_once.push_back(std::move(entry));
-  if (!at_once.empty()) turn.inputs.emplace_back(coordinator::Recalled{std::move(at_once)});
+  if (!at_once.empty()) turn.inputs.emplace_back(coordinator::FactsReceived{std::move(at_once)});
   const auto& s = core.settings();
   for (const auto& [group, here] : groups_) {
     if (here || group.value >= s.groups.size()) continue;
     const auto table = cluster::table_of(knowledge.copies(), s.groups[group.value].name, now);
     if (!table) continue;  // nobody is heard: what stands, stands
-    coordinator::Followed followed{group, true, table->lines, {}};
+    coordinator::LeaderTable followed{group, true, table->lines, {}};
     for (const auto& op : s.operations)
       if (const auto level = table->levels.find(op.name); level != table->levels.end())
         followed.levels.push_back(level->second);
