--- a/src/coordinator/admission.hpp
+++ b/src/coordinator/admission.hpp
@@ -1,4 +1,5 @@
-// Decides which lookups an admission level lets through: evenly, so that any run of lookups sees the share.
+// Admits the given share of lookups at even intervals, so that any run of consecutive lookups sees about that
+// share.
 #pragma once
 
 namespace gorsemount::coordinator {
@@ -14,7 +15,7 @@
   }
 
  private:
-  double credit_ = 1;  // the first is let in unless the level is next to nothing
+  double credit_ = 1;  // admits the first lookup unless the level is close to 0
 };
 
 }  // namespace gorsemount::coordinator
--- a/src/coordinator/answer_sampling.hpp
+++ b/src/coordinator/answer_sampling.hpp
@@ -1,5 +1,5 @@
-// Decides which lines go into one answer, where not all do, so that each line's part of the traffic stays its
-// weight's part of the whole.
+// Selects the lines of one DNS answer when not all of them fit, so that the expected traffic of each line
+// stays proportional to its weight.
 #pragma once
 
 #include <cstddef>
@@ -9,8 +9,8 @@
 
 namespace gorsemount::coordinator {
 
-// An even sequence of points in [0, 1): multiples of the golden ratio. Beside random draws it spreads any few
-// answers in a row over the whole weight, so that small groups see the shares too.
+// Low-discrepancy sequence in [0, 1): multiples of the golden ratio. Unlike random draws, even a few
+// consecutive answers cover the whole weight evenly, so small groups get the intended shares too.
 class LowDiscrepancySequence {
  public:
   [[nodiscard]] double next() {
@@ -26,22 +26,24 @@
 };
 
 struct SampledLine {
-  std::size_t index = 0;  // among the lines
-  double weight = 0;      // in this answer
+  std::size_t index = 0;  // index of the line in the input
+  double weight = 0;      // weight of the line in this answer
 };
 
-// For clients that honour weights (SRV): `most` lines. A line whose part is over one in `most` is always in,
-// with its own weight; of the others each is in by its weight (systematic sampling) and weighs the same.
-[[nodiscard]] std::vector<SampledLine> sample_weighted(const std::vector<Line>& lines, std::size_t most,
+// For clients that honour weights (SRV): `max_lines` lines. A line with at least 1 / `max_lines` of the total
+// weight is always included, with its own weight; the others are included with a probability proportional to
+// their weight (systematic sampling), all with the same weight.
+[[nodiscard]] std::vector<SampledLine> sample_weighted(const std::vector<Line>& lines, std::size_t max_lines,
                                                        double phase);
 
-// The same where lines stand in tiers: the first tier's share the places, but for a few that are kept for
-// each later one, so that there is somewhere to turn when all of it fails.
-[[nodiscard]] std::vector<SampledLine> sample_tiered(const std::vector<Line>& lines, std::size_t most,
+// As sample_weighted, for lines in several tiers: most places go to the first tier, and a few are reserved
+// for each later tier as failover targets.
+[[nodiscard]] std::vector<SampledLine> sample_tiered(const std::vector<Line>& lines, std::size_t max_lines,
                                                      double phase);
 
-// For clients that take any address alike (A, AAAA): as many as can all be equal, `most` at the most.
-[[nodiscard]] std::vector<std::size_t> sample_uniform(const std::vector<Line>& lines, std::size_t most,
+// For clients that pick any address with equal probability (A, AAAA): as many lines as can get equal shares,
+// at most `max_lines`.
+[[nodiscard]] std::vector<std::size_t> sample_uniform(const std::vector<Line>& lines, std::size_t max_lines,
                                                       double phase);
 
 }  // namespace gorsemount::coordinator
--- a/src/coordinator/baseline.hpp
+++ b/src/coordinator/baseline.hpp
@@ -1,5 +1,6 @@
-// What to compare with: every ready backend at its listed weight, from the moment it is listed; no ladder, no
-// ramp, no levels. It is what weights in a plain zone file do.
+// Baselines to compare the policy with. fixed_weights: every ready backend at its listed weight as soon as it
+// is listed, without health-based weights, slow start or admission levels, like weights in a static zone
+// file.
 #pragma once
 
 #include "coordinator/coordinator.hpp"
@@ -7,8 +8,8 @@
 namespace gorsemount::coordinator {
 
 [[nodiscard]] DecisionMaker fixed_weights();
-// The same, and each proxy is given its own zone's backends only. With none of them left the coordinator's
-// guard of rule 1 stands in, as it does for any that decides.
+// As fixed_weights, but each proxy gets only the backends of its own zone. If none of them is left, the
+// coordinator's fallback lines apply, as with any other decision maker.
 [[nodiscard]] DecisionMaker zone_local();
 
 }  // namespace gorsemount::coordinator
--- a/src/coordinator/coordinator.hpp
+++ b/src/coordinator/coordinator.hpp
@@ -1,10 +1,10 @@
-// The coordinator's core: inputs become the module's events, its orders become published tables. It does no
-// I/O and reads no clock; the epoll loop, an emulator and the tests step it alike.
+// The coordinator's core: turns inputs into policy events and the policy's orders into published tables. It
+// does no I/O and reads no clock; the event loop, the simulator and the tests all drive it through step().
 //
-//   step(now, inputs): absorb -> tell (list) -> joins, timers, a report round -> decide -> apply -> channel
-//   -> publish. `now` never goes back.
+// Order within step(now, inputs): absorb inputs, update the policy's backend list, idle groups, timers,
+// report round, policy, orders, channel, publish. `now` never decreases.
 //
-// It keeps what the five rules need even where a decision would not: see publish() and channel.hpp.
+// It enforces the safety rules independently of the policy's decisions: see publish() and channel.hpp.
 #pragma once
 
 #include <functional>
@@ -23,13 +23,13 @@
 
 namespace gorsemount::coordinator {
 
-// What decides: the module, or a baseline beside it, which remembers nothing.
+// Makes the decisions: the policy, or a baseline, which keeps no state to export.
 struct DecisionMaker {
   using Handle = std::function<std::vector<Order>(Instant, const std::vector<Event>&)>;
   DecisionMaker() = default;
   template <class F>
   requires std::is_constructible_v<Handle, F> DecisionMaker(F f)
-      : handle{std::move(f)} {}  // NOLINT: a plain function decides too
+      : handle{std::move(f)} {}  // NOLINT: implicit, so that a plain function can be passed
   explicit operator bool() const { return static_cast<bool>(handle); }
 
   Handle handle;
@@ -37,42 +37,43 @@
   std::function<void(Instant, const Memory&)> import_state;
 };
 
-// The module's settings, worked out from ours.
+// The policy's settings, derived from the coordinator's.
 [[nodiscard]] gorsemount::Settings policy_settings(const Settings& settings);
 [[nodiscard]] DecisionMaker policy_decision_maker(const Settings& settings);
 
-// How long an answer may be kept, in whole seconds, so that what was cut is out of all caches within the
-// grace. Half of the grace less the time of use: the other half is for the coordinator to hear and to cut.
+// Time to live of answers, in whole seconds, such that a removed backend is out of all caches within the
+// drain grace period. It is half of the grace period less use_after; the other half is for the coordinator to
+// learn of the drain and remove the backend.
 [[nodiscard]] Span answer_lifetime(const Settings& settings);
 
 struct Counters {
   std::uint64_t steps = 0, orders = 0, messages = 0;
-  std::uint64_t deferred_messages = 0;  // messages that did not fit into the channel at once
-  std::uint64_t filtered_lines = 0;     // lines that the published views left out though a table had them
-  std::uint64_t fallback_views = 0;     // views that the standing lines filled since they were empty
-  std::uint64_t rejected_samples = 0;   // load replies that were not taken as they came
-  double peak_backlog = 0;              // lines
+  std::uint64_t deferred_messages = 0;  // updates that did not fit into the channel at once
+  std::uint64_t filtered_lines = 0;     // table lines left out of published views
+  std::uint64_t fallback_views = 0;  // views filled with the fallback lines since they would have been empty
+  std::uint64_t rejected_samples = 0;  // load and forwarder reports rejected in whole or in part
+  double peak_backlog = 0;             // lines
 };
 
 class Coordinator {
  public:
   Coordinator(Settings settings, DecisionMaker decide);
-  // The parts refer to each other.
+  // Members hold references to each other.
   Coordinator(const Coordinator&) = delete;
   Coordinator& operator=(const Coordinator&) = delete;
 
   [[nodiscard]] Effects step(Instant now, const std::vector<Input>& inputs);
 
-  // The id by which inputs name a backend of the roster; absent if it never was in it.
+  // Id by which inputs refer to a backend of the roster; nullopt if the roster never listed it.
   [[nodiscard]] std::optional<BackendId> backend_id(const std::string& name) const;
   [[nodiscard]] std::shared_ptr<const GroupMap> group_map() const { return group_map_; }
   [[nodiscard]] Counters counters() const;
 
-  // For people: what is known, and what each is told.
+  // State for the operators' interface.
   struct BackendState {
     std::string name, zone, state;  // state: unknown, ready, draining, gone
     Endpoint at;
-    double listed_weight = 0, weight = 0;  // weight: by the newest tables, of all operations the highest
+    double listed_weight = 0, weight = 0;  // weight: the highest in the current tables
     bool cold = false, refuses_connections = false, operator_override = false;
     const char* sample_fault = "none";
   };
@@ -81,158 +82,163 @@
     std::string name;
     ProxyId id;
     std::optional<TableId> table;
-    std::uint64_t ordered_version = 0, applied_version = 0;  // versions
+    std::uint64_t ordered_version = 0, applied_version = 0;  // table versions
     double rate = 0;
   };
   [[nodiscard]] std::vector<ProxyState> proxies() const;
-  [[nodiscard]] const std::map<TableId, TablePtr>& tables() const { return versions_; }
-  // A version of a table, while it is among the last that were made; null otherwise.
+  [[nodiscard]] const std::map<TableId, TablePtr>& tables() const { return current_tables_; }
+  // A recent version of a table; null if it is no longer in the history.
   [[nodiscard]] TablePtr table_version(std::uint64_t version) const;
-  [[nodiscard]] const Settings& settings() const { return s_; }
-  [[nodiscard]] double channel_backlog() const { return channel_.waiting(now_); }
-  [[nodiscard]] bool decisions_held() const { return hold_; }
+  [[nodiscard]] const Settings& settings() const { return settings_; }
+  [[nodiscard]] double channel_backlog() const { return channel_.backlog(now_); }
+  [[nodiscard]] bool decisions_held() const { return decisions_held_; }
 
-  // What is worth telling another controller, or a later life (remember.cpp).
+  // Facts to replicate to other controllers and to restore after a restart (state_transfer.cpp).
   [[nodiscard]] recovery::Facts facts() const;
-  // A zone is being drained or comes back, by the module's ladder or by a person's order.
+  // Whether a zone is being drained or is coming back, by the policy or by an operator's order.
   [[nodiscard]] bool zone_shift_in_progress() const;
 
  private:
-  struct Row {
+  struct BackendRecord {
     RosterEntry entry;
     Instant first_seen;
-    bool listed = true;                 // in the newest roster
-    std::optional<Listed::Entry> told;  // what the module knows
-    Instant learned;                    // when it was last known to drain, to be gone or to start anew
-    bool counts(const Instant made, const bool removal_binds) const {
-      if (!told) return false;
-      if (told->availability == Availability::draining) return false;
-      if (told->availability == Availability::gone && removal_binds) return false;
-      return made >= learned;
+    bool listed = true;                      // in the newest roster
+    std::optional<Listed::Entry> announced;  // as last passed to the policy
+    Instant invalidated_at;                  // when it last began draining, was gone or restarted
+    bool usable(const Instant table_created_at, const bool removal_binds) const {
+      if (!announced) return false;
+      if (announced->availability == Availability::draining) return false;
+      if (announced->availability == Availability::gone && removal_binds) return false;
+      return table_created_at >= invalidated_at;
     }
   };
 
-  void absorb(const RosterUpdate& e);
-  void absorb(const LoadReport& e);
-  void absorb(const LoadPollFailed& e);
-  void absorb(const HealthCheckResult& e);
-  void absorb(const GroupLookup& e);
-  void absorb(const SettingsReloaded& e);
-  void absorb(const ForwarderJoined& e);
-  void absorb(const ForwarderLeft& e);
-  void absorb(const ForwarderReport& e);
-  void absorb(const ForwarderAppliedTable& e);
-  void absorb(const OperatorCommand& e);
-  void absorb(const FactsReceived& e);
-  void absorb(const GroupLeadership& e);
-  void absorb(const LeaderTable& e);
-  void recall_backend(BackendId id, Row& row, Memory& memory);
-  void end_care();
-  void decide_spill(const std::vector<Event>& reports);
-  void share_cuts();
-  [[nodiscard]] std::vector<double> parts_of_cut(const Table& table, ZoneId proxies,
-                                                 const std::vector<double>& in_table) const;
-  [[nodiscard]] spill::Trips trips(const std::vector<Event>& reports);
-  [[nodiscard]] TablePtr spilled(TablePtr table, ZoneId proxies);
-  [[nodiscard]] std::map<BackendId, double> lines_for(ProxyId forwarder, const Table& table) const;
-  [[nodiscard]] TablePtr table_of_group(ProxyId group) const;
-  [[nodiscard]] std::string refusal(const OperatorCommand& e) const;
+  void absorb(const RosterUpdate& input);
+  void absorb(const LoadReport& input);
+  void absorb(const LoadPollFailed& input);
+  void absorb(const HealthCheckResult& input);
+  void absorb(const GroupLookup& input);
+  void absorb(const SettingsReloaded& input);
+  void absorb(const ForwarderJoined& input);
+  void absorb(const ForwarderLeft& input);
+  void absorb(const ForwarderReport& input);
+  void absorb(const ForwarderAppliedTable& input);
+  void absorb(const OperatorCommand& input);
+  void absorb(const FactsReceived& input);
+  void absorb(const GroupLeadership& input);
+  void absorb(const LeaderTable& input);
+  void restore_backend(BackendId id, BackendRecord& record, Memory& memory);
+  void end_takeovers();
+  void update_spillover(const std::vector<Event>& reports);
+  void update_subset_shares();
+  [[nodiscard]] std::vector<double> subset_zone_shares(const Table& table, ZoneId proxies,
+                                                       const std::vector<double>& in_table) const;
+  [[nodiscard]] spill::Trips zone_latencies(const std::vector<Event>& reports);
+  [[nodiscard]] TablePtr spillover_table(TablePtr table, ZoneId proxies);
+  [[nodiscard]] std::map<BackendId, double> forwarder_lines(ProxyId forwarder, const Table& table) const;
+  [[nodiscard]] TablePtr group_table_for(ProxyId group) const;
+  [[nodiscard]] std::string rejection_reason(const OperatorCommand& input) const;
   [[nodiscard]] std::string proxy_name(ProxyId proxy) const;
-  void want_tables();
-  [[nodiscard]] TablePtr guarded(TablePtr table);
-  [[nodiscard]] std::shared_ptr<const DesiredTable> wanted_table(ProxyId forwarder, const Table& table);
-  void share_limits();
-  void deal_retries();
-  void forget_old();
-  void heed_absence(BackendId backend);
-  void tell_list();
-  [[nodiscard]] bool lowered(const Row& row) const;
+  void request_tables();
+  [[nodiscard]] TablePtr guarded_table(TablePtr table);
+  [[nodiscard]] std::shared_ptr<const DesiredTable> desired_table(ProxyId forwarder, const Table& table);
+  void distribute_limits();
+  void distribute_retry_budget();
+  void prune_backends();
+  void update_refusing(BackendId backend);
+  void announce_roster();
+  [[nodiscard]] bool weight_lowered(const BackendRecord& record) const;
   void apply(const std::vector<Order>& orders);
   void publish();
-  [[nodiscard]] std::vector<Line> standing(OperationId operation) const;
-  [[nodiscard]] bool warm(const Row& row) const;
-  void note(LogEvent::Severity weight, std::string event,
-            std::vector<std::pair<std::string, std::string>> fields);
+  [[nodiscard]] std::vector<Line> fallback_lines(OperationId operation) const;
+  [[nodiscard]] bool warm(const BackendRecord& record) const;
+  void log_event(LogEvent::Severity severity, std::string event,
+                 std::vector<std::pair<std::string, std::string>> fields);
 
-  Settings s_;
-  DecisionMaker decide_;
+  Settings settings_;
+  DecisionMaker decision_maker_;
   std::shared_ptr<const GroupMap> group_map_;
-  ReportAggregator evidence_;
-  ProxyPresence attendance_{s_};
-  Channel channel_{s_};
+  ReportAggregator report_aggregator_;
+  ProxyPresence proxy_presence_{settings_};
+  Channel channel_{settings_};
 
   Instant now_;
   std::vector<Event> events_;
-  Effects out_;
-  std::map<std::string, BackendId> ids_;
-  std::map<BackendId, Row> rows_;
+  Effects effects_;
+  std::map<std::string, BackendId> backend_ids_;
+  std::map<BackendId, BackendRecord> backends_;
   std::uint32_t next_id_ = 1;
-  std::map<BackendId, SampleFault> doubts_;  // the last of each, so that only a change is logged
-  std::set<BackendId> unheard_;              // whose load did not come the last time
-  // A step looks at those that something was heard of, not at the fleet: steps come by the hundred a second.
-  std::set<BackendId> touched_;
-  std::set<BackendId> untold_;  // listed, and the module does not know yet
-  std::set<BackendId> absent_;  // whose machine refuses connections
-  std::size_t listed_ = 0;
-  bool absence_counts_ = true;
-  std::optional<Instant> next_warm_;  // when the standing lines next change by themselves
-  bool restand_ = true;               // or at once
+  std::map<BackendId, SampleFault> sample_faults_;  // last fault of each, to log changes only
+  std::set<BackendId> load_missing_;                // backends whose last load poll failed
+  // Backends with new information. A step looks only at these, not at the whole fleet, since there can be
+  // hundreds of steps per second.
+  std::set<BackendId> changed_backends_;
+  std::set<BackendId> unannounced_;  // listed, but not yet passed to the policy
+  std::set<BackendId> refusing_;     // refuse connections
+  std::size_t roster_size_ = 0;
+  bool refusals_trusted_ = true;
+  std::optional<Instant> next_slow_start_end_;  // when the fallback lines next change by themselves
+  bool fallback_stale_ = true;                  // recompute the fallback lines in this step
   std::multimap<Instant, TimerTag> timers_;
-  std::optional<Instant> round_at_;
-  std::map<TableId, Table> tables_;  // as ordered
-  std::map<TableId, TablePtr> versions_;
-  std::deque<TablePtr> history_;  // the last versions, for people
-  std::set<TableId> frozen_;      // changed since a person holds the decisions
-  std::map<ProxyId, TableId> bound_;
-  // For forwarders: tables with the guards already in them, since what they hold is not read anew by a front.
-  std::map<TableId, std::pair<std::pair<std::uint64_t, std::uint64_t>, TablePtr>> guarded_;
-  std::uint64_t guards_ = 0;  // grows when a guard may judge otherwise
-  // Tables by zone of proxies, where flows between zones are decided.
+  std::optional<Instant> next_round_;
+  std::map<TableId, Table> ordered_tables_;  // as ordered by the policy
+  std::map<TableId, TablePtr> current_tables_;
+  std::deque<TablePtr> table_history_;  // recent versions, for operators
+  std::set<TableId> unapplied_tables_;  // changed while decisions are on hold
+  std::map<ProxyId, TableId> bound_tables_;
+  // Tables for forwarders, with unusable backends already removed: a forwarder keeps the table it was sent,
+  // whereas DNS answers are made from views that are filtered in each step.
+  std::map<TableId, std::pair<std::pair<std::uint64_t, std::uint64_t>, TablePtr>> guarded_tables_;
+  std::uint64_t guard_generation_ = 0;  // incremented when the filter result may change
+  // Table variants by zone of the proxies, when spillover between zones is enabled.
   std::optional<spill::Spill> spill_;
-  std::vector<std::vector<double>> parts_of_zones_;
-  std::vector<std::vector<int>> turn_to_;
-  std::deque<std::vector<spill::Problem::Class>> demands_;  // the last rounds'
-  std::map<std::pair<TableId, ZoneId>, double> cut_shares_;
-  std::map<std::pair<std::size_t, std::size_t>, std::deque<Span>> trips_;  // the last rounds'
-  std::vector<bool> tiers_doubted_;
-  bool strain_ = false;
-  std::uint64_t spill_version_ = 0;
-  std::map<std::pair<TableId, ZoneId>, std::pair<std::pair<std::uint64_t, std::uint64_t>, TablePtr>> spilled_;
-  std::map<ProxyId, std::uint64_t> holds_, sent_;
-  // What was remembered of a backend and waits till it is known which machine has its name now.
-  struct Past {
+  std::vector<std::vector<double>> zone_shares_;
+  std::vector<std::vector<int>> failover_tiers_;
+  std::deque<std::vector<spill::Problem::Class>> recent_demand_;  // of the last report rounds
+  std::map<std::pair<TableId, ZoneId>, double> subset_shares_;
+  // of the last report rounds
+  std::map<std::pair<std::size_t, std::size_t>, std::deque<Span>> recent_latencies_;
+  std::vector<bool> tier_mismatch_;
+  bool overloaded_ = false;
+  std::uint64_t spillover_generation_ = 0;
+  std::map<std::pair<TableId, ZoneId>, std::pair<std::pair<std::uint64_t, std::uint64_t>, TablePtr>>
+      spillover_tables_;
+  std::map<ProxyId, std::uint64_t> applied_versions_, delivered_versions_;
+  // State of a backend restored from facts, kept until it is known which process now has its name.
+  struct RememberedBackend {
     std::optional<recovery::Fact> ladder, drain, cold;
   };
-  std::map<std::string, Past> past_;
-  // Forwarders that were taken over, with further tries shut: until when, once that can be told.
-  struct Care {
-    bool half = false;  // a change was half sent, by all that is known
+  std::map<std::string, RememberedBackend> remembered_;
+  // Forwarders taken over from another controller. Retries beyond the first try stay disabled until `until`,
+  // which is set once the forwarder has confirmed a table.
+  struct Takeover {
+    bool partially_sent = false;  // its table may have been changed only in part
     std::optional<Instant> until;
   };
-  std::map<ProxyId, Care> care_;
-  // After a restart with memory: what forwarders were found to hold, which stands till the module has heard
-  // enough.
-  struct Found {
+  std::map<ProxyId, Takeover> takeovers_;
+  // After a restart with restored state: the weights each forwarder was found with. They stay in force until
+  // the policy has had enough reports.
+  struct FoundLines {
     std::map<std::string, double> lines;
     Instant until;
   };
-  std::map<ProxyId, Found> found_;
-  bool own_memory_ = false;
-  std::map<ProxyId, bool> half_sent_;  // as other controllers had it
-  std::map<ProxyId, Instant> group_seen_;
-  std::map<ProxyId, TablePtr> followed_;  // of groups that are led elsewhere
-  std::set<ProxyId> led_elsewhere_;
-  OperatorOverrides persons_;
-  std::optional<Instant> person_next_;
-  bool hold_ = false;
-  std::optional<Instant> hold_ordered_;
-  limits::FleetLimit limit_;
-  limits::FleetLimit::Parts parts_;
-  limits::RetryBudget retries_;
+  std::map<ProxyId, FoundLines> found_lines_;
+  bool restored_own_state_ = false;
+  std::map<ProxyId, bool> partially_sent_;  // as reported by other controllers
+  std::map<ProxyId, Instant> last_lookups_;
+  std::map<ProxyId, TablePtr> leader_tables_;  // tables of groups led by another controller
+  std::set<ProxyId> remotely_led_;
+  OperatorOverrides operator_overrides_;
+  std::optional<Instant> next_override_change_;
+  bool decisions_held_ = false;
+  std::optional<Instant> hold_ordered_at_;
+  limits::FleetLimit fleet_limit_;
+  limits::FleetLimit::Parts limit_shares_;
+  limits::RetryBudget retry_budget_;
   std::uint64_t table_version_ = 0, view_version_ = 0, publish_version_ = 0;
-  bool listed_once_ = false, dirty_ = true;
+  bool roster_announced_ = false, publish_needed_ = true;
   std::shared_ptr<const std::map<BackendId, DirectoryEntry>> directory_;
-  std::vector<std::vector<Line>> standing_;  // by operation, as last published
+  std::vector<std::vector<Line>> fallback_lines_;  // by operation, as last published
   std::map<std::pair<std::uint64_t, OperationId>, std::shared_ptr<const RoutingView>>
       views_;  // by table version
   Counters counters_;
--- a/src/coordinator/groups.hpp
+++ b/src/coordinator/groups.hpp
@@ -1,4 +1,5 @@
-// Decides whose clients ask: which group a source belongs to, when a group is in service, and its usual rate.
+// Client groups: maps a source address to its group, and tracks which groups and forwarders are in service
+// and their usual request rates.
 #pragma once
 
 #include <deque>
@@ -8,43 +9,43 @@
 
 namespace gorsemount::coordinator {
 
-// From a source to its group, by the longest prefix. Immutable once made.
+// Maps a source address to its group by longest prefix match. Immutable.
 class GroupMap {
  public:
   explicit GroupMap(const Settings& settings);
-  // kForwarded: a forwarder's own address, which reports for itself.
+  // kForwarded: an address of a forwarder, which reports its own demand.
   [[nodiscard]] ProxyId group_of(const Address& source) const;
   static constexpr ProxyId kForwarded{65535};
-  // Whether a resolver's word on its client's subnet counts; anyone else's could point at any group.
+  // Whether the client subnet sent by this resolver (RFC 7871) may be used. Others could claim any group.
   [[nodiscard]] bool trusts(const Address& resolver) const;
 
  private:
-  std::map<unsigned, std::map<Address, ProxyId>, std::greater<>> by_length_;
-  std::vector<Prefix> trusted_;
-  ProxyId rest_;
+  std::map<unsigned, std::map<Address, ProxyId>, std::greater<>> prefixes_by_length_;
+  std::vector<Prefix> trusted_resolvers_;
+  ProxyId default_group_;
 };
 
-// A group is in service from its first lookup until none came for a stated time.
+// A group is in service from its first lookup until there have been no lookups for group_idle.
 class ProxyPresence {
  public:
-  explicit ProxyPresence(const Settings& settings) : s_{&settings} {}
-  [[nodiscard]] std::vector<Event> looked_up(Instant now, ProxyId group);
-  // Of a forwarder: its stream stands, or broke.
-  [[nodiscard]] std::vector<Event> joined(Instant now, ProxyId forwarder);
-  [[nodiscard]] std::vector<Event> left(ProxyId forwarder);
-  [[nodiscard]] std::vector<Event> leave_idle(Instant now);
-  void arrived(const std::vector<Event>& reports);  // the demand reports of one round
-  [[nodiscard]] const std::map<ProxyId, Instant>& present() const { return seen_; }
+  explicit ProxyPresence(const Settings& settings) : settings_{&settings} {}
+  [[nodiscard]] std::vector<Event> on_lookup(Instant now, ProxyId group);
+  // The forwarder's control stream was opened or lost.
+  [[nodiscard]] std::vector<Event> on_forwarder_joined(Instant now, ProxyId forwarder);
+  [[nodiscard]] std::vector<Event> on_left(ProxyId forwarder);
+  [[nodiscard]] std::vector<Event> remove_idle(Instant now);
+  void record_arrivals(const std::vector<Event>& reports);  // the demand reports of one round
+  [[nodiscard]] const std::map<ProxyId, Instant>& present() const { return last_seen_; }
   [[nodiscard]] double usual_rate(ProxyId group) const;
-  // From an earlier life; what was measured since counts for more.
-  void recall(ProxyId proxy, double rate) {
-    if (auto& log = rates_[proxy]; log.empty()) log.push_back(rate);
+  // Restores a rate from an earlier run; ignored once a rate has been measured.
+  void restore_rate(ProxyId proxy, double rate) {
+    if (auto& samples = measured_rates_[proxy]; samples.empty()) samples.push_back(rate);
   }
 
  private:
-  const Settings* s_;
-  std::map<ProxyId, Instant> seen_;  // the last lookup
-  std::map<ProxyId, std::deque<double>> rates_;
+  const Settings* settings_;
+  std::map<ProxyId, Instant> last_seen_;  // time of the last lookup or join
+  std::map<ProxyId, std::deque<double>> measured_rates_;
 };
 
 }  // namespace gorsemount::coordinator
--- a/src/coordinator/operator_overrides.cpp
+++ b/src/coordinator/operator_overrides.cpp
@@ -7,99 +7,104 @@
 
 namespace {
 
-// The mechanism's own steps (docs/design.md): a third of the full share every 2 s down; up with a hundredth,
-// then a tenth every 3 s.
-constexpr double kDown = 1.0 / 3, kUp = 0.1, kTrial = 0.01;
-const Span kDownEvery = Span::seconds(2), kUpEvery = Span::seconds(3);
+// The same steps as the policy's for zones (docs/design.md): down by a third of the full share every 2 s; up
+// from a hundredth, by a tenth every 3 s.
+constexpr double kDrainStep = 1.0 / 3, kReturnStep = 0.1, kTrialShare = 0.01;
+const Span kDrainInterval = Span::seconds(2), kReturnInterval = Span::seconds(3);
 
-// An order that was taken back is kept this long, so that whoever still holds the older one hears of it.
-const Span kTold = Span::seconds(600);
+// A revoked order is kept this long, so that controllers that still have the older order learn of it.
+const Span kRevokedOrderRetention = Span::seconds(600);
 
-double steps(Instant since, Instant now, Span every) {
+double elapsed_steps(Instant since, Instant now, Span every) {
   return std::floor((now - since).seconds() / every.seconds() + 1e-9);
 }
 
 }  // namespace
 
 void OperatorOverrides::set_weight(Instant now, const std::string& backend, double weight, Span lifetime) {
-  weights_[backend] = {weight, now + lifetime, now};
+  weight_orders_[backend] = {weight, now + lifetime, now};
 }
 
-double OperatorOverrides::share(const Zone& zone, Instant now) {
-  if (zone.down) {
-    const double left = zone.from - kDown * (steps(zone.since, now, kDownEvery) + 1);
+double OperatorOverrides::share(const ZoneOrder& zone, Instant now) {
+  if (zone.draining) {
+    const double left = zone.start_share - kDrainStep * (elapsed_steps(zone.since, now, kDrainInterval) + 1);
     return left < 1e-9 ? 0 : left;
   }
-  return std::min(1.0, std::max(zone.from, kTrial) + kUp * steps(zone.since, now, kUpEvery));
+  return std::min(1.0, std::max(zone.start_share, kTrialShare) +
+                           kReturnStep * elapsed_steps(zone.since, now, kReturnInterval));
 }
 
 void OperatorOverrides::drain(Instant now, const std::string& zone) {
-  const auto it = zones_.find(zone);
-  if (it != zones_.end() && it->second.down) return;
-  zones_[zone] = {true, it == zones_.end() ? 1 : share(it->second, now), now};
+  const auto it = zone_orders_.find(zone);
+  if (it != zone_orders_.end() && it->second.draining) return;
+  zone_orders_[zone] = {true, it == zone_orders_.end() ? 1 : share(it->second, now), now};
 }
 
 void OperatorOverrides::undrain(Instant now, const std::string& zone) {
-  const auto it = zones_.find(zone);
-  if (it == zones_.end() || !it->second.down) return;
+  const auto it = zone_orders_.find(zone);
+  if (it == zone_orders_.end() || !it->second.draining) return;
   it->second = {false, share(it->second, now), now};
 }
 
 bool OperatorOverrides::drained(const std::string& zone) const {
-  const auto it = zones_.find(zone);
-  return it != zones_.end() && it->second.down;
+  const auto it = zone_orders_.find(zone);
+  return it != zone_orders_.end() && it->second.draining;
 }
 
-OperatorOverrides::Say OperatorOverrides::of(const std::string& backend, const std::string& zone,
-                                             Instant now) const {
-  Say say;
-  if (const auto it = weights_.find(backend); it != weights_.end() && now < it->second.until)
-    say.weight = it->second.weight;
-  if (const auto it = zones_.find(zone); it != zones_.end()) say.share = share(it->second, now);
-  say.out = out(backend) || say.share <= 0;
-  return say;
+OperatorOverrides::Override OperatorOverrides::effective(const std::string& backend, const std::string& zone,
+                                                         Instant now) const {
+  Override result;
+  if (const auto it = weight_orders_.find(backend); it != weight_orders_.end() && now < it->second.until)
+    result.weight = it->second.weight;
+  if (const auto it = zone_orders_.find(zone); it != zone_orders_.end())
+    result.share = share(it->second, now);
+  result.disabled = disabled(backend) || result.share <= 0;
+  return result;
 }
 
-bool OperatorOverrides::recall(const std::string& backend, const Weight& weight) {
-  const auto it = weights_.find(backend);
-  if (it != weights_.end() && it->second.ordered >= weight.ordered) return false;
-  weights_[backend] = weight;
+bool OperatorOverrides::restore(const std::string& backend, const WeightOrder& weight) {
+  const auto it = weight_orders_.find(backend);
+  if (it != weight_orders_.end() && it->second.ordered >= weight.ordered) return false;
+  weight_orders_[backend] = weight;
   return true;
 }
 
-bool OperatorOverrides::recall(const std::string& backend, const Out& out) {
-  const auto it = out_.find(backend);
-  if (it != out_.end() && it->second.ordered >= out.ordered) return false;
-  out_[backend] = out;
+bool OperatorOverrides::restore(const std::string& backend, const DisableOrder& disabled) {
+  const auto it = disable_orders_.find(backend);
+  if (it != disable_orders_.end() && it->second.ordered >= disabled.ordered) return false;
+  disable_orders_[backend] = disabled;
   return true;
 }
 
-bool OperatorOverrides::recall(const std::string& zone, const Zone& order) {
-  const auto it = zones_.find(zone);
-  if (it != zones_.end() && it->second.since >= order.since) return false;
-  if (it == zones_.end() && !order.down) return false;  // it is up already
-  zones_[zone] = order;
+bool OperatorOverrides::restore(const std::string& zone, const ZoneOrder& order) {
+  const auto it = zone_orders_.find(zone);
+  if (it != zone_orders_.end() && it->second.since >= order.since) return false;
+  if (it == zone_orders_.end() && !order.draining) return false;  // not drained
+  zone_orders_[zone] = order;
   return true;
 }
 
 bool OperatorOverrides::forget_zone(const std::string& zone, Instant before) {
-  const auto it = zones_.find(zone);
-  if (it == zones_.end() || it->second.since >= before) return false;
-  zones_.erase(it);
+  const auto it = zone_orders_.find(zone);
+  if (it == zone_orders_.end() || it->second.since >= before) return false;
+  zone_orders_.erase(it);
   return true;
 }
 
 std::optional<Instant> OperatorOverrides::next_change(Instant now) {
   std::optional<Instant> next;
   const auto at = [&](Instant when) { next = std::min(next.value_or(when), when); };
-  std::erase_if(out_, [&](const auto& row) { return !row.second.out && now - row.second.ordered > kTold; });
-  std::erase_if(weights_, [&](const auto& row) { return row.second.until <= now; });
-  std::erase_if(zones_, [&](const auto& row) { return !row.second.down && share(row.second, now) >= 1; });
-  for (const auto& [name, w] : weights_) at(w.until);
-  for (const auto& [name, zone] : zones_) {
-    if (zone.down && share(zone, now) <= 0) continue;
-    const Span every = zone.down ? kDownEvery : kUpEvery;
-    at(zone.since + every * (steps(zone.since, now, every) + 1));
+  std::erase_if(disable_orders_, [&](const auto& row) {
+    return !row.second.disabled && now - row.second.ordered > kRevokedOrderRetention;
+  });
+  std::erase_if(weight_orders_, [&](const auto& row) { return row.second.until <= now; });
+  std::erase_if(zone_orders_,
+                [&](const auto& row) { return !row.second.draining && share(row.second, now) >= 1; });
+  for (const auto& [name, w] : weight_orders_) at(w.until);
+  for (const auto& [name, zone] : zone_orders_) {
+    if (zone.draining && share(zone, now) <= 0) continue;
+    const Span every = zone.draining ? kDrainInterval : kReturnInterval;
+    at(zone.since + every * (elapsed_steps(zone.since, now, every) + 1));
   }
   return next;
 }
--- a/src/coordinator/report_aggregator.cpp
+++ b/src/coordinator/report_aggregator.cpp
@@ -10,186 +10,190 @@
 
 namespace {
 
-constexpr std::size_t kHistory = 64;  // samples of `taken`: at two a second, longer than any timeout we met
+constexpr std::size_t kTakenSamples =
+    64;  // samples of `taken`: at two a second, longer than the usual integration timeouts
 
-// One refused connection may fall into a restart's gap that is over at once; with a second, asked for a
-// little later, it is a fact. A cut or slow link does not refuse, it is silent: that stays for the module to
-// judge.
-constexpr int kRefusals = 2;
+// A single refused connection may be the short gap of a restart; a second one, a little later, is taken as
+// proof. A cut or slow link causes timeouts, not refusals: these are left to the policy.
+constexpr int kRefusalsUntilDown = 2;
 
-// Figures that can't be, whatever the worker: a queue is no fraction below 0, processors no more than whole.
+// Whether the load figures are possible for any worker: the queue is not negative, the utilization at most 1.
 bool in_range(const LoadSample& s) {
   const auto fits = [](const std::optional<double>& v, double most) {
     return !v || (std::isfinite(*v) && *v >= 0 && *v <= most);
   };
-  // A little above 1 is a rounding of the worker's own.
+  // a little above 1 can come from the worker's rounding
   return fits(s.util, 1.05) && fits(s.queue, 1e7);
 }
 
-// Waiting work beside idle processors: one of the two is not true, and nobody can say which. A tenth of the
-// processors and three waiting are beyond what a sample between two moments explains.
+// A queue beside idle processors: one of the two figures must be wrong. A utilization under a tenth with
+// three waiting is more than the sampling times can explain.
 bool contradicts(const LoadSample& s) { return s.util && s.queue && *s.util < 0.1 && *s.queue >= 3; }
 
 }  // namespace
 
-const char* name_of(SampleFault doubt) {
+const char* name_of(SampleFault fault) {
   constexpr const char* names[] = {"none", "late", "contradicting", "out_of_range", "went_back"};
-  return names[static_cast<std::size_t>(doubt)];
+  return names[static_cast<std::size_t>(fault)];
 }
 
 ReportAggregator::ReportAggregator(const Settings& settings, std::function<ProxyId(const Address&)> group_of)
-    : s_{settings}, group_of_{std::move(group_of)} {}
+    : settings_{settings}, group_of_{std::move(group_of)} {}
 
-SampleFault ReportAggregator::load(Instant now, BackendId backend, Instant asked, const LoadSample& sample) {
-  Row& row = rows_[backend];
+SampleFault ReportAggregator::add_load(Instant now, BackendId backend, Instant requested_at,
+                                       const LoadSample& sample) {
+  BackendCounters& row = backends_[backend];
   for (const auto& c : sample.counts)
     if (c.succeeded + c.errored > c.taken || !std::isfinite(c.latency) || c.latency < 0)
       return SampleFault::contradicting;
   if (!std::isfinite(sample.uptime) || sample.uptime < 0) return SampleFault::out_of_range;
 
-  SampleFault doubt = SampleFault::none;
+  SampleFault fault = SampleFault::none;
   if (!row.last || row.last->boot != sample.boot) {
-    // Another process: nothing of the one before counts, and its counters start at nothing.
-    row = Row{};
-    row.started = asked - Span::seconds(std::min(sample.uptime, 1e9));
+    // Another process: discard the state of the former one, and take its counters as starting at 0.
+    row = BackendCounters{};
+    row.started = requested_at - Span::seconds(std::min(sample.uptime, 1e9));
   } else {
-    std::map<Source, Counts> seen;
+    std::map<CountKey, Counts> seen;
     for (const auto& c : sample.counts) {
-      const auto was = row.counted.find({c.source, c.operation});
-      if (was == row.counted.end()) continue;
+      const auto was = row.last_counts.find({c.source, c.operation});
+      if (was == row.last_counts.end()) continue;
       const Counts& old = was->second;
       if (c.taken < old.taken || c.succeeded < old.succeeded || c.errored < old.errored ||
           c.refused < old.refused || c.latency < old.latency - 1e-6)
-        return SampleFault::went_back;  // the same process can't have done less: an old reply, or a false one
+        return SampleFault::went_back;  // counters of one process never decrease: an old or a false reply
     }
     if (sample.uptime + 1e-3 < row.last->uptime) return SampleFault::went_back;
   }
   row.draining = sample.draining;
-  row.refused = 0;  // whatever listens there now has answered
-  // A load that travelled long tells of another time; counters only ever grow and stay true.
-  if (now - asked > s_.late_after) doubt = SampleFault::late;
-  if (contradicts(sample)) doubt = SampleFault::contradicting;
-  if (!in_range(sample)) doubt = SampleFault::out_of_range;
-  row.busy =
-      doubt == SampleFault::none && sample.util ? std::optional{std::min(1.0, *sample.util)} : std::nullopt;
+  row.refused = 0;  // the process answers again
+  // A late reply describes a past load; its counters are cumulative and remain valid.
+  if (now - requested_at > settings_.late_after) fault = SampleFault::late;
+  if (contradicts(sample)) fault = SampleFault::contradicting;
+  if (!in_range(sample)) fault = SampleFault::out_of_range;
+  row.utilization =
+      fault == SampleFault::none && sample.util ? std::optional{std::min(1.0, *sample.util)} : std::nullopt;
   count(now, row, sample);
   row.last = sample;
-  return doubt;
+  return fault;
 }
 
-void ReportAggregator::count(Instant now, Row& row, const LoadSample& sample) {
+void ReportAggregator::count(Instant now, BackendCounters& row, const LoadSample& sample) {
   std::uint64_t taken = 0, ended = 0;
   for (const auto& c : sample.counts) {
     taken += c.taken, ended += c.succeeded + c.errored;
-    Counts& old = row.counted[{c.source, c.operation}];
+    Counts& old = row.last_counts[{c.source, c.operation}];
     const Counts fresh{c.taken, c.succeeded, c.errored, c.refused, c.latency};
-    // What it had counted before we first heard of it is no news.
+    // Counts from before the first reply are not news.
     if (row.last) {
       const ProxyId group = group_of_(c.source.address);
       if (group == GroupMap::kForwarded) {
         old = fresh;
         continue;
       }
-      // A refusal while it drains is as it should be.
+      // A draining worker is expected to refuse.
       const double refused = sample.draining ? 0 : static_cast<double>(fresh.refused - old.refused);
       const double errored = static_cast<double>(fresh.errored - old.errored) + refused;
       const double succeeded = static_cast<double>(fresh.succeeded - old.succeeded);
-      Tally& tally = row.tallies[s_.groups[group.value].zone];
+      Tally& tally = row.tallies[settings_.groups[group.value].zone];
       tally.tries += succeeded + errored, tally.errored += errored,
-          tally.waited += fresh.latency - old.latency;
+          tally.latency_sum += fresh.latency - old.latency;
       row.taken[{group, c.operation}] +=
           static_cast<int>(fresh.taken - old.taken + fresh.refused - old.refused);
     }
     old = fresh;
   }
-  // What was taken an integration timeout ago and has not ended never will in time: a worker that accepts and
-  // never answers shows so even if it says nothing of errors.
-  Span patience;
-  for (const auto& op : s_.operations) patience = std::max(patience, op.integration_timeout);
-  row.history.push_back({now, taken});
-  if (row.history.size() > kHistory) row.history.pop_front();
-  std::uint64_t due = 0;
-  for (const auto& h : row.history)
-    if (now - h.at >= patience) due = h.taken;
-  if (due > ended + row.given_up) {
-    const auto lost = static_cast<double>(due - ended - row.given_up);
-    Tally& tally = row.tallies[s_.zone];
+  // What was taken longer ago than the longest integration timeout and has not ended counts as errored. This
+  // detects a worker that accepts invocations and never answers, even if it reports no errors.
+  Span longest_timeout;
+  for (const auto& op : settings_.operations)
+    longest_timeout = std::max(longest_timeout, op.integration_timeout);
+  row.taken_history.push_back({now, taken});
+  if (row.taken_history.size() > kTakenSamples) row.taken_history.pop_front();
+  std::uint64_t overdue = 0;
+  for (const auto& h : row.taken_history)
+    if (now - h.at >= longest_timeout) overdue = h.taken;
+  if (overdue > ended + row.counted_as_lost) {
+    const auto lost = static_cast<double>(overdue - ended - row.counted_as_lost);
+    Tally& tally = row.tallies[settings_.zone];
     tally.tries += lost, tally.errored += lost;
-    row.given_up = due - ended;
+    row.counted_as_lost = overdue - ended;
   } else {
-    row.given_up = std::min(row.given_up, taken - std::min(taken, ended));
+    row.counted_as_lost = std::min(row.counted_as_lost, taken - std::min(taken, ended));
   }
 }
 
-void ReportAggregator::health(BackendId backend, Health health, Span took) {
-  Row& row = rows_[backend];
-  Tally& tally = row.tallies[s_.zone];
+void ReportAggregator::add_health_check(BackendId backend, Health health, Span latency) {
+  BackendCounters& row = backends_[backend];
+  Tally& tally = row.tallies[settings_.zone];
   tally.tries += 1;
   if (health == Health::passed) {
-    tally.waited += took.seconds();
+    tally.latency_sum += latency.seconds();
   } else {
     tally.errored += 1;
   }
   row.refused = health == Health::refused ? row.refused + 1 : 0;
-  // What it said of itself was another process's word.
-  if (row.refused >= kRefusals) row.last.reset(), row.counted.clear(), row.history.clear(), row.given_up = 0;
+  // The former reports are from a process that is gone.
+  if (row.refused >= kRefusalsUntilDown)
+    row.last.reset(), row.last_counts.clear(), row.taken_history.clear(), row.counted_as_lost = 0;
 }
 
-bool ReportAggregator::absent(BackendId backend) const {
-  const auto row = rows_.find(backend);
-  return row != rows_.end() && row->second.refused >= kRefusals;
+bool ReportAggregator::refuses_connections(BackendId backend) const {
+  const auto row = backends_.find(backend);
+  return row != backends_.end() && row->second.refused >= kRefusalsUntilDown;
 }
 
-bool ReportAggregator::met(const ForwarderReport& met, ZoneId zone) {
-  for (const auto& r : met.rows)
+bool ReportAggregator::add_forwarder_report(const ForwarderReport& report, ZoneId zone) {
+  for (const auto& r : report.rows)
     if (r.errored < 0 || r.errored > r.tries || r.mean_latency < Span{} ||
         r.mean_latency > Span::seconds(3600))
       return false;
-  for (const auto& r : met.rows) {
+  for (const auto& r : report.rows) {
     if (r.tries == 0) continue;
-    Tally& tally = rows_[r.backend].tallies[zone];
+    Tally& tally = backends_[r.backend].tallies[zone];
     tally.tries += r.tries, tally.errored += r.errored;
-    tally.waited += (r.tries - r.errored) * r.mean_latency.seconds();
+    tally.latency_sum += (r.tries - r.errored) * r.mean_latency.seconds();
   }
-  for (const auto& [operation, n] : met.arrived) arrived_[{met.forwarder, operation}] += std::max(0, n);
+  for (const auto& [operation, n] : report.arrived) arrived_[{report.forwarder, operation}] += std::max(0, n);
   return true;
 }
 
-void ReportAggregator::forget(BackendId backend) { rows_.erase(backend); }
+void ReportAggregator::forget(BackendId backend) { backends_.erase(backend); }
 
-std::optional<Instant> ReportAggregator::started(BackendId backend) const {
-  const auto row = rows_.find(backend);
-  return row == rows_.end() ? std::nullopt : row->second.started;
+std::optional<Instant> ReportAggregator::started_at(BackendId backend) const {
+  const auto row = backends_.find(backend);
+  return row == backends_.end() ? std::nullopt : row->second.started;
 }
 
 bool ReportAggregator::draining(BackendId backend) const {
-  const auto row = rows_.find(backend);
-  return row != rows_.end() && row->second.draining;
+  const auto row = backends_.find(backend);
+  return row != backends_.end() && row->second.draining;
 }
 
-bool ReportAggregator::introduced(BackendId backend) const {
-  const auto row = rows_.find(backend);
-  return row != rows_.end() && row->second.last.has_value();
+bool ReportAggregator::has_reported(BackendId backend) const {
+  const auto row = backends_.find(backend);
+  return row != backends_.end() && row->second.last.has_value();
 }
 
-std::vector<Event> ReportAggregator::round(Instant now) {
-  const Span over = round_at_ ? now - *round_at_ : s_.report_every;
-  round_at_ = now;
+std::vector<Event> ReportAggregator::take_reports(Instant now) {
+  const Span interval = last_round_ ? now - *last_round_ : settings_.report_every;
+  last_round_ = now;
   std::vector<Event> events;
   std::map<std::pair<ProxyId, OperationId>, int> arrived = std::exchange(arrived_, {});
-  for (auto& [backend, row] : rows_) {
+  for (auto& [backend, row] : backends_) {
     for (const auto& [zone, t] : row.tallies) {
       if (t.tries <= 0) continue;
-      BackendReport report{zone, backend, static_cast<int>(t.tries), static_cast<int>(t.errored), {},
-                           over, row.busy};
-      if (t.tries > t.errored) report.mean_latency = Span::seconds(t.waited / (t.tries - t.errored));
+      BackendReport report{
+          zone,     backend,        static_cast<int>(t.tries), static_cast<int>(t.errored), {},
+          interval, row.utilization};
+      if (t.tries > t.errored) report.mean_latency = Span::seconds(t.latency_sum / (t.tries - t.errored));
       events.emplace_back(report);
     }
     for (const auto& [key, n] : row.taken) arrived[key] += n;
     row.tallies.clear(), row.taken.clear();
-    row.busy.reset();  // told once for each reply: an old load is not told again
+    row.utilization.reset();  // reported once per reply: stale load is not repeated
   }
-  for (const auto& [key, n] : arrived) events.emplace_back(DemandReport{key.first, key.second, n, over});
+  for (const auto& [key, n] : arrived) events.emplace_back(DemandReport{key.first, key.second, n, interval});
   return events;
 }
 
--- a/src/coordinator/state_transfer.cpp
+++ b/src/coordinator/state_transfer.cpp
@@ -1,5 +1,6 @@
-// What a coordinator tells of itself to others and to its next life, and what it takes from them. What
-// discovery says now outranks memory, but for a drain, which stands till the worker itself says otherwise.
+// Exports the coordinator's state as facts for other controllers and for its own restart, and imports such
+// facts. The current roster takes precedence over restored state, except that a drain stands until the worker
+// itself reports otherwise.
 #include <algorithm>
 #include <utility>
 
@@ -14,17 +15,19 @@
 
 namespace {
 
-// Two readings of one start differ by trips and by clocks' rates; two starts of one worker lie further apart.
-const Span kSameStart = Span::seconds(2);
-// A table's lines go out in parts, so that one that moved does not carry all of them along.
-constexpr std::size_t kParts = 16;
-// A leader hears of a backend's start by its own polls, about as soon as we do; and its table takes a round.
-const Span kLeaderHears = Span::seconds(3);
-// A group's lookups are news again after this long: a quarter of the shortest time that settings allow it to
-// be idle.
-const Span kSeenNews = Span::seconds(2.5);
+// Two estimates of one start time differ by network delays and clock drift; two starts of a worker are
+// further apart.
+const Span kStartTolerance = Span::seconds(2);
+// The lines of a table are split into several facts, so that a change of one line does not resend the whole
+// table.
+constexpr std::size_t kTableLineShards = 16;
+// A leader detects a backend's restart by its own polls, about as soon as this controller does, and changes
+// its table in the next round.
+const Span kLeaderPropagation = Span::seconds(3);
+// Resolution of the time of a group's last lookup: a quarter of the shortest group_idle that settings allow.
+const Span kLastSeenResolution = Span::seconds(2.5);
 
-Fact of_rung(const Memory::Rung& rung, Instant now) {
+Fact fact_of_ladder(const Memory::Rung& rung, Instant now) {
   Fact f;
   f.figures = {{"share", rung.share},
                {"falling", rung.falling ? 1 : 0},
@@ -34,17 +37,17 @@
   return f;
 }
 
-double figure(const Fact& f, const char* name, double otherwise) {
+double figure(const Fact& f, const char* name, double fallback) {
   const auto it = f.figures.find(name);
-  return it == f.figures.end() ? otherwise : it->second;
+  return it == f.figures.end() ? fallback : it->second;
 }
 std::optional<Instant> time_of(const Fact& f, const char* name) {
   const auto it = f.times.find(name);
   return it == f.times.end() ? std::nullopt : std::optional{it->second};
 }
 
-// Out of range is what no ladder can be; empty then.
-std::optional<Memory::Rung> rung_of(const Fact& f, Instant now) {
+// Returns nullopt if a figure is out of range.
+std::optional<Memory::Rung> ladder_of(const Fact& f, Instant now) {
   Memory::Rung rung;
   rung.share = figure(f, "share", -1), rung.falling = figure(f, "falling", 0) > 0,
   rung.eased = figure(f, "eased", 0) > 0;
@@ -60,160 +63,167 @@
 
 Facts Coordinator::facts() const {
   Facts all;
-  const auto name_at = [&](BackendId id) {
-    const auto row = rows_.find(id);
-    return row == rows_.end() ? std::string{} : row->second.entry.name;
+  const auto backend_name = [&](BackendId id) {
+    const auto record = backends_.find(id);
+    return record == backends_.end() ? std::string{} : record->second.entry.name;
   };
-  const auto of_machine = [&](BackendId id, Fact f) {
-    f.instance = rows_.at(id).entry.at.text();
-    if (const auto started = evidence_.started(id)) f.times["started"] = *started;
+  const auto for_instance = [&](BackendId id, Fact f) {
+    f.instance = backends_.at(id).entry.at.text();
+    if (const auto started = report_aggregator_.started_at(id)) f.times["started"] = *started;
     return f;
   };
-  if (decide_.export_state) {
-    const Memory m = decide_.export_state(now_);
+  if (decision_maker_.export_state) {
+    const Memory m = decision_maker_.export_state(now_);
     for (const auto& [zone, rung] : m.zones)
-      if (zone.value < s_.zones.size()) all[{Kind::zone_ladder, s_.zones[zone.value]}] = of_rung(rung, now_);
+      if (zone.value < settings_.zones.size())
+        all[{Kind::zone_ladder, settings_.zones[zone.value]}] = fact_of_ladder(rung, now_);
     for (const auto& [key, rung] : m.links)
-      if (key.first.value < s_.zones.size() && key.second.value < s_.zones.size())
-        all[{Kind::link_ladder, s_.zones[key.first.value] + ">" + s_.zones[key.second.value]}] =
-            of_rung(rung, now_);
+      if (key.first.value < settings_.zones.size() && key.second.value < settings_.zones.size())
+        all[{Kind::link_ladder, settings_.zones[key.first.value] + ">" + settings_.zones[key.second.value]}] =
+            fact_of_ladder(rung, now_);
     for (const auto& [id, rung] : m.backends)
-      if (rows_.contains(id)) all[{Kind::backend_ladder, name_at(id)}] = of_machine(id, of_rung(rung, now_));
+      if (backends_.contains(id))
+        all[{Kind::backend_ladder, backend_name(id)}] = for_instance(id, fact_of_ladder(rung, now_));
     Fact carried;
     for (std::size_t k = 0; k < m.able.size(); ++k) carried.figures[std::to_string(k)] = m.able[k];
     if (!m.able.empty()) all[{Kind::carried, "fleet"}] = carried;
   }
-  for (const auto& [id, row] : rows_) {
-    if (!row.told) continue;
-    if (row.told->availability == Availability::draining && !persons_.out(row.entry.name))
-      all[{Kind::drain, row.entry.name}] = of_machine(id, {});
-    if (!warm(row) && row.told->availability == Availability::ready) {
-      Fact cold = of_machine(id, {});
-      cold.times["started"] = *row.told->started;
-      all[{Kind::cold_start, row.entry.name}] = cold;
+  for (const auto& [id, record] : backends_) {
+    if (!record.announced) continue;
+    if (record.announced->availability == Availability::draining &&
+        !operator_overrides_.disabled(record.entry.name))
+      all[{Kind::drain, record.entry.name}] = for_instance(id, {});
+    if (!warm(record) && record.announced->availability == Availability::ready) {
+      Fact cold = for_instance(id, {});
+      cold.times["started"] = *record.announced->started;
+      all[{Kind::cold_start, record.entry.name}] = cold;
     }
   }
-  for (const auto& [proxy, seen] : attendance_.present()) {
-    all[{Kind::usual_rate, proxy_name(proxy)}].figures["rate"] = attendance_.usual_rate(proxy);
+  for (const auto& [proxy, seen] : proxy_presence_.present()) {
+    all[{Kind::usual_rate, proxy_name(proxy)}].figures["rate"] = proxy_presence_.usual_rate(proxy);
     if (!is_forwarder(proxy)) {
-      const auto bound = bound_.find(proxy);
-      if (bound != bound_.end())
+      const auto bound = bound_tables_.find(proxy);
+      if (bound != bound_tables_.end())
         all[{Kind::group_table, proxy_name(proxy)}].figures["table"] = bound->second.value;
     }
   }
-  for (const auto& [proxy, seen] : group_seen_)
-    if (now_ - seen < s_.group_idle) {
-      // In steps, so that it is news now and then and not with each lookup.
-      const auto steps = (seen - Instant{}).micros() / kSeenNews.micros();
+  for (const auto& [proxy, seen] : last_lookups_)
+    if (now_ - seen < settings_.group_idle) {
+      // Rounded down, so that the fact changes now and then rather than with each lookup.
+      const auto steps = (seen - Instant{}).micros() / kLastSeenResolution.micros();
       all[{Kind::group_seen, proxy_name(proxy)}].times["seen"] =
-          Instant{} + Span::micros(steps * kSeenNews.micros());
+          Instant{} + Span::micros(steps * kLastSeenResolution.micros());
     }
-  for (const auto& [proxy, part] : retries_.parts())
-    if (std::abs(part - s_.retry_share) > 1e-9)
+  for (const auto& [proxy, part] : retry_budget_.parts())
+    if (std::abs(part - settings_.retry_share) > 1e-9)
       all[{Kind::further_tries, proxy_name(proxy)}].figures["part"] = part;
-  for (const auto& [proxy, version] : sent_)
+  for (const auto& [proxy, version] : delivered_versions_)
     all[{Kind::sent_table, proxy_name(proxy)}].figures["version"] = static_cast<double>(version);
-  for (const auto& [proxy, version] : holds_)
+  for (const auto& [proxy, version] : applied_versions_)
     if (version > 0)
       all[{Kind::held_table, proxy_name(proxy)}].figures["version"] = static_cast<double>(version);
-  std::set<TableId> of_groups;
-  for (const auto& [proxy, table] : bound_)
-    if (!is_forwarder(proxy)) of_groups.insert(table);
-  for (const auto id : of_groups) {
-    const auto it = versions_.find(id);
-    if (it == versions_.end()) continue;
+  std::set<TableId> group_tables;
+  for (const auto& [proxy, table] : bound_tables_)
+    if (!is_forwarder(proxy)) group_tables.insert(table);
+  for (const auto id : group_tables) {
+    const auto it = current_tables_.find(id);
+    if (it == current_tables_.end()) continue;
     const std::string number = std::to_string(id.value);
     for (const auto& [backend, weight] : it->second->lines)
-      if (rows_.contains(backend))
-        all[{Kind::table_lines, number + "/" + std::to_string(backend.value % kParts)}]
-            .figures[name_at(backend)] = weight;
+      if (backends_.contains(backend))
+        all[{Kind::table_lines, number + "/" + std::to_string(backend.value % kTableLineShards)}]
+            .figures[backend_name(backend)] = weight;
     Fact levels;
-    for (std::size_t k = 0; k < it->second->levels.size() && k < s_.operations.size(); ++k) {
-      levels.figures["level " + s_.operations[k].name] = it->second->levels[k].level;
-      levels.figures["tries " + s_.operations[k].name] = static_cast<double>(it->second->levels[k].tries);
+    for (std::size_t k = 0; k < it->second->levels.size() && k < settings_.operations.size(); ++k) {
+      levels.figures["level " + settings_.operations[k].name] = it->second->levels[k].level;
+      levels.figures["tries " + settings_.operations[k].name] =
+          static_cast<double>(it->second->levels[k].tries);
     }
     if (!levels.figures.empty()) all[{Kind::table_levels, number}] = levels;
   }
-  for (const auto& [name, w] : persons_.weights())
+  for (const auto& [name, w] : operator_overrides_.weight_orders())
     all[{Kind::person_weight, name}] = {
         "", {{"weight", w.weight}}, {{"until", w.until}, {"ordered", w.ordered}}};
-  for (const auto& [name, o] : persons_.outs())
-    all[{Kind::person_out, name}] = {"", {{"out", o.out ? 1 : 0}}, {{"ordered", o.ordered}}};
-  for (const auto& [name, z] : persons_.zones())
+  for (const auto& [name, o] : operator_overrides_.disable_orders())
+    all[{Kind::person_out, name}] = {"", {{"out", o.disabled ? 1 : 0}}, {{"ordered", o.ordered}}};
+  for (const auto& [name, z] : operator_overrides_.zone_orders())
     all[{Kind::person_zone, name}] = {
-        "", {{"down", z.down ? 1 : 0}, {"from", z.from}}, {{"ordered", z.since}}};
-  if (hold_ordered_)
-    all[{Kind::hold, s_.zones[s_.zone.value]}] = {"", {{"on", hold_ ? 1 : 0}}, {{"ordered", *hold_ordered_}}};
-  all[{Kind::fleet, "fleet"}].figures["backends"] = static_cast<double>(listed_);
+        "", {{"down", z.draining ? 1 : 0}, {"from", z.start_share}}, {{"ordered", z.since}}};
+  if (hold_ordered_at_)
+    all[{Kind::hold, settings_.zones[settings_.zone.value]}] = {
+        "", {{"on", decisions_held_ ? 1 : 0}}, {{"ordered", *hold_ordered_at_}}};
+  all[{Kind::fleet, "fleet"}].figures["backends"] = static_cast<double>(roster_size_);
   return all;
 }
 
 bool Coordinator::zone_shift_in_progress() const {
-  if (person_next_ && !persons_.zones().empty()) return true;
-  if (!decide_.export_state) return false;
-  const Memory m = decide_.export_state(now_);
+  if (next_override_change_ && !operator_overrides_.zone_orders().empty()) return true;
+  if (!decision_maker_.export_state) return false;
+  const Memory m = decision_maker_.export_state(now_);
   return std::any_of(m.zones.begin(), m.zones.end(),
-                     [](const auto& row) { return row.second.falling || row.second.share < 1; });
+                     [](const auto& record) { return record.second.falling || record.second.share < 1; });
 }
 
-void Coordinator::absorb(const FactsReceived& e) {
+void Coordinator::absorb(const FactsReceived& input) {
   Memory memory;
   std::map<std::string, std::uint64_t> sent, held;
-  const auto zone_at = [&](const std::string& name) -> std::optional<ZoneId> {
-    const auto it = std::find(s_.zones.begin(), s_.zones.end(), name);
-    if (it == s_.zones.end()) return {};
-    return ZoneId{static_cast<std::uint16_t>(it - s_.zones.begin())};
+  const auto find_zone = [&](const std::string& name) -> std::optional<ZoneId> {
+    const auto it = std::find(settings_.zones.begin(), settings_.zones.end(), name);
+    if (it == settings_.zones.end()) return {};
+    return ZoneId{static_cast<std::uint16_t>(it - settings_.zones.begin())};
   };
-  const auto proxy_at = [&](const std::string& name) -> std::optional<ProxyId> {
-    for (std::size_t k = 0; k < s_.groups.size(); ++k)
-      if (s_.groups[k].name == name) return ProxyId{static_cast<std::uint16_t>(k)};
-    for (std::size_t k = 0; k < s_.forwarders.size(); ++k)
-      if (s_.forwarders[k].name == name) return ProxyId{static_cast<std::uint16_t>(kFirstForwarderId + k)};
+  const auto find_proxy = [&](const std::string& name) -> std::optional<ProxyId> {
+    for (std::size_t k = 0; k < settings_.groups.size(); ++k)
+      if (settings_.groups[k].name == name) return ProxyId{static_cast<std::uint16_t>(k)};
+    for (std::size_t k = 0; k < settings_.forwarders.size(); ++k)
+      if (settings_.forwarders[k].name == name)
+        return ProxyId{static_cast<std::uint16_t>(kFirstForwarderId + k)};
     return {};
   };
-  bool persons = false;
-  own_memory_ = own_memory_ || e.from_previous_run;
-  for (const Entry& entry : e.facts) {
+  bool overrides_changed = false;
+  restored_own_state_ = restored_own_state_ || input.from_previous_run;
+  for (const Entry& entry : input.facts) {
     const Fact& f = entry.fact;
     const std::string& name = entry.subject.name;
     const auto ordered = time_of(f, "ordered");
-    // What is gone says so only where somebody took an order back.
+    // A removed fact matters only for zone orders, which are revoked by removal.
     if (entry.gone) {
-      if (entry.subject.kind == Kind::person_zone) persons |= persons_.forget_zone(name, entry.learned);
+      if (entry.subject.kind == Kind::person_zone)
+        overrides_changed |= operator_overrides_.forget_zone(name, entry.learned);
       continue;
     }
     switch (entry.subject.kind) {
       case Kind::zone_ladder:
-        if (const auto zone = zone_at(name))
-          if (const auto rung = rung_of(f, now_)) memory.zones[*zone] = *rung;
+        if (const auto zone = find_zone(name))
+          if (const auto rung = ladder_of(f, now_)) memory.zones[*zone] = *rung;
         break;
       case Kind::link_ladder: {
         const auto at = name.find('>');
         if (at == std::string::npos) break;
-        const auto from = zone_at(name.substr(0, at)), to = zone_at(name.substr(at + 1));
-        if (const auto rung = rung_of(f, now_); rung && from && to) memory.links[{*from, *to}] = *rung;
+        const auto from = find_zone(name.substr(0, at)), to = find_zone(name.substr(at + 1));
+        if (const auto rung = ladder_of(f, now_); rung && from && to) memory.links[{*from, *to}] = *rung;
         break;
       }
       case Kind::backend_ladder:
-        past_[name].ladder = f;
+        remembered_[name].ladder = f;
         break;
       case Kind::drain:
-        past_[name].drain = f;
+        remembered_[name].drain = f;
         break;
       case Kind::cold_start:
-        if (f.times.contains("started")) past_[name].cold = f;
+        if (f.times.contains("started")) remembered_[name].cold = f;
         break;
       case Kind::carried:
-        for (const auto& [place, able] : f.figures)
+        for (const auto& [index, able] : f.figures)
           if (able > 0) memory.able.push_back(able);
         break;
       case Kind::usual_rate:
-        if (const auto proxy = proxy_at(name))
-          attendance_.recall(*proxy, std::clamp(figure(f, "rate", 0), 0.0, 1e6));
+        if (const auto proxy = find_proxy(name))
+          proxy_presence_.restore_rate(*proxy, std::clamp(figure(f, "rate", 0), 0.0, 1e6));
         break;
       case Kind::further_tries:
-        if (const auto proxy = proxy_at(name); proxy && is_forwarder(*proxy))
-          retries_.recall(*proxy, figure(f, "part", s_.retry_share));
+        if (const auto proxy = find_proxy(name); proxy && is_forwarder(*proxy))
+          retry_budget_.recall(*proxy, figure(f, "part", settings_.retry_share));
         break;
       case Kind::sent_table:
         sent[name] = static_cast<std::uint64_t>(figure(f, "version", 0));
@@ -224,27 +234,28 @@
       case Kind::person_weight:
         if (const auto until = time_of(f, "until");
             until && ordered && *until > now_ && figure(f, "weight", 0) > 0)
-          persons |=
-              persons_.recall(name, OperatorOverrides::Weight{figure(f, "weight", 1), *until, *ordered});
+          overrides_changed |= operator_overrides_.restore(
+              name, OperatorOverrides::WeightOrder{figure(f, "weight", 1), *until, *ordered});
         break;
       case Kind::person_out:
         if (ordered)
-          persons |= persons_.recall(name, OperatorOverrides::Out{figure(f, "out", 0) > 0, *ordered});
+          overrides_changed |= operator_overrides_.restore(
+              name, OperatorOverrides::DisableOrder{figure(f, "out", 0) > 0, *ordered});
         break;
       case Kind::person_zone:
-        if (ordered && zone_at(name))
-          persons |= persons_.recall(
-              name, OperatorOverrides::Zone{figure(f, "down", 0) > 0,
-                                            std::clamp(figure(f, "from", 1), 0.0, 1.0), *ordered});
+        if (ordered && find_zone(name))
+          overrides_changed |= operator_overrides_.restore(
+              name, OperatorOverrides::ZoneOrder{figure(f, "down", 0) > 0,
+                                                 std::clamp(figure(f, "from", 1), 0.0, 1.0), *ordered});
         break;
       case Kind::hold:
-        if (ordered && (!hold_ordered_ || *hold_ordered_ < *ordered))
-          hold_ = figure(f, "on", 0) > 0, hold_ordered_ = ordered;
+        if (ordered && (!hold_ordered_at_ || *hold_ordered_at_ < *ordered))
+          decisions_held_ = figure(f, "on", 0) > 0, hold_ordered_at_ = ordered;
         break;
       case Kind::group_seen:
-        if (const auto proxy = proxy_at(name);
-            proxy && !is_forwarder(*proxy) && !led_elsewhere_.contains(*proxy))
-          if (const auto when = time_of(f, "seen"); when && now_ - *when < s_.group_idle)
+        if (const auto proxy = find_proxy(name);
+            proxy && !is_forwarder(*proxy) && !remotely_led_.contains(*proxy))
+          if (const auto when = time_of(f, "seen"); when && now_ - *when < settings_.group_idle)
             absorb(GroupLookup{*proxy});
         break;
       case Kind::group_table:
@@ -255,123 +266,129 @@
     }
   }
   for (const auto& [name, version] : sent)
-    if (const auto proxy = proxy_at(name))
-      half_sent_[*proxy] = !held.contains(name) || held.at(name) != version;
-  if (decide_.import_state && (!memory.zones.empty() || !memory.links.empty() || !memory.able.empty()))
-    decide_.import_state(now_, memory);
-  if (persons) person_next_ = persons_.next_change(now_);
-  for (const auto& [id, row] : rows_)
-    if (persons || past_.contains(row.entry.name)) touched_.insert(id);
+    if (const auto proxy = find_proxy(name))
+      partially_sent_[*proxy] = !held.contains(name) || held.at(name) != version;
+  if (decision_maker_.import_state &&
+      (!memory.zones.empty() || !memory.links.empty() || !memory.able.empty()))
+    decision_maker_.import_state(now_, memory);
+  if (overrides_changed) next_override_change_ = operator_overrides_.next_change(now_);
+  for (const auto& [id, record] : backends_)
+    if (overrides_changed || remembered_.contains(record.entry.name)) changed_backends_.insert(id);
 }
 
-// What was remembered of a name counts for the machine that it was remembered of: its place, and its start
-// where both are known.
-void Coordinator::recall_backend(BackendId id, Row& row, Memory& memory) {
-  const auto it = past_.find(row.entry.name);
-  if (it == past_.end()) return;
-  Past& past = it->second;
-  const std::string place = row.entry.at.text();
-  const auto started = evidence_.started(id);
-  const auto another = [&](const Fact& f) {
-    if (f.instance != place) return true;
+// State restored for a name applies only to the process it was recorded for: the same address and, if both
+// are known, the same start time.
+void Coordinator::restore_backend(BackendId id, BackendRecord& record, Memory& memory) {
+  const auto it = remembered_.find(record.entry.name);
+  if (it == remembered_.end()) return;
+  RememberedBackend& remembered = it->second;
+  const std::string address = record.entry.at.text();
+  const auto started = report_aggregator_.started_at(id);
+  const auto other_process = [&](const Fact& f) {
+    if (f.instance != address) return true;
     const auto then = time_of(f, "started");
-    return started && then && (*started - *then > kSameStart || *then - *started > kSameStart);
+    return started && then && (*started - *then > kStartTolerance || *then - *started > kStartTolerance);
   };
-  for (auto* fact : {&past.ladder, &past.drain, &past.cold})
-    if (*fact && another(**fact)) fact->reset();
-  if (past.ladder) {
-    if (const auto rung = rung_of(*past.ladder, now_)) memory.backends[id] = *rung;
-    past.ladder.reset();
+  for (auto* fact : {&remembered.ladder, &remembered.drain, &remembered.cold})
+    if (*fact && other_process(**fact)) fact->reset();
+  if (remembered.ladder) {
+    if (const auto rung = ladder_of(*remembered.ladder, now_)) memory.backends[id] = *rung;
+    remembered.ladder.reset();
   }
-  if (evidence_.introduced(id)) {
-    // It speaks for itself from here on.
-    past.cold.reset();
-    if (past.drain && !evidence_.draining(id)) past.drain.reset();
+  if (report_aggregator_.has_reported(id)) {
+    // Its own reports apply from now on.
+    remembered.cold.reset();
+    if (remembered.drain && !report_aggregator_.draining(id)) remembered.drain.reset();
   }
-  if (!past.ladder && !past.drain && !past.cold) past_.erase(it);
+  if (!remembered.ladder && !remembered.drain && !remembered.cold) remembered_.erase(it);
 }
 
-// What a forwarder is to have for a table: for a while after a restart with memory what it was found to hold,
-// less what is known to drain, to be gone or to be remembered as out; never nothing.
-std::map<BackendId, double> Coordinator::lines_for(ProxyId forwarder, const Table& table) const {
-  const auto found = found_.find(forwarder);
-  if (found == found_.end()) return table.lines;
+// The lines a forwarder gets for a table. After a restart with restored state these are for a while the
+// weights it was found with, except for backends that are draining, gone or excluded; never an empty set.
+std::map<BackendId, double> Coordinator::forwarder_lines(ProxyId forwarder, const Table& table) const {
+  const auto found = found_lines_.find(forwarder);
+  if (found == found_lines_.end()) return table.lines;
   std::map<BackendId, double> lines;
   for (const auto& [name, weight] : found->second.lines) {
     const auto id = backend_id(name);
-    const auto row = id ? rows_.find(*id) : rows_.end();
-    if (row == rows_.end() || !row->second.listed) continue;
-    if (row->second.told && (!row->second.counts(now_, s_.removal_binds) || !table.lines.contains(*id)))
+    const auto record = id ? backends_.find(*id) : backends_.end();
+    if (record == backends_.end() || !record->second.listed) continue;
+    if (record->second.announced &&
+        (!record->second.usable(now_, settings_.removal_binds) || !table.lines.contains(*id)))
       continue;
     lines[*id] = weight;
   }
   return lines.empty() ? table.lines : lines;
 }
 
-// Further tries come back to forwarders that were taken over.
-void Coordinator::end_care() {
-  std::vector<ProxyId> over;
-  for (const auto& [proxy, found] : found_)
-    if (now_ >= found.until) over.push_back(proxy);
-  for (const auto proxy : over) found_.erase(proxy);
-  for (const auto& [proxy, care] : care_)
-    if (care.until && now_ >= *care.until) over.push_back(proxy);
-  for (const auto proxy : over) {
-    care_.erase(proxy), half_sent_.erase(proxy);
+// Enables retries again at forwarders that were taken over.
+void Coordinator::end_takeovers() {
+  std::vector<ProxyId> expired;
+  for (const auto& [proxy, found] : found_lines_)
+    if (now_ >= found.until) expired.push_back(proxy);
+  for (const auto proxy : expired) found_lines_.erase(proxy);
+  for (const auto& [proxy, takeover] : takeovers_)
+    if (takeover.until && now_ >= *takeover.until) expired.push_back(proxy);
+  for (const auto proxy : expired) {
+    takeovers_.erase(proxy), partially_sent_.erase(proxy);
     const auto held = channel_.in_force().find(proxy);
     if (held != channel_.in_force().end() && held->second)
-      out_.deliveries.push_back({proxy, wanted_table(proxy, *held->second)});
+      effects_.deliveries.push_back({proxy, desired_table(proxy, *held->second)});
   }
 }
 
-// ---- Groups that another controller leads -----------------------------------------------------------------
+// ---- Groups led by another controller ------------------------------------------------------------------
 
-void Coordinator::absorb(const GroupLeadership& e) {
-  if (e.group.value >= s_.groups.size() || led_elsewhere_.contains(e.group) != e.locally_led) return;
-  if (e.locally_led) {
-    led_elsewhere_.erase(e.group);
-    if (const auto seen = group_seen_.find(e.group);
-        seen != group_seen_.end() && now_ - seen->second < s_.group_idle)
-      absorb(GroupLookup{e.group});
+void Coordinator::absorb(const GroupLeadership& input) {
+  if (input.group.value >= settings_.groups.size() ||
+      remotely_led_.contains(input.group) != input.locally_led)
+    return;
+  if (input.locally_led) {
+    remotely_led_.erase(input.group);
+    if (const auto seen = last_lookups_.find(input.group);
+        seen != last_lookups_.end() && now_ - seen->second < settings_.group_idle)
+      absorb(GroupLookup{input.group});
     return;
   }
-  // What it has stays in force till its new leader is heard.
-  if (const auto held = channel_.in_force().find(e.group); held != channel_.in_force().end())
-    followed_[e.group] = held->second;
-  led_elsewhere_.insert(e.group);
-  for (auto& event : attendance_.left(e.group)) events_.push_back(std::move(event));
-  channel_.leave(e.group), bound_.erase(e.group);
+  // The current table stays in force until the new leader is heard.
+  if (const auto held = channel_.in_force().find(input.group); held != channel_.in_force().end())
+    leader_tables_[input.group] = held->second;
+  remotely_led_.insert(input.group);
+  for (auto& event : proxy_presence_.on_left(input.group)) events_.push_back(std::move(event));
+  channel_.leave(input.group), bound_tables_.erase(input.group);
 }
 
-void Coordinator::absorb(const LeaderTable& e) {
-  if (!led_elsewhere_.contains(e.group) || !e.fresh) return;  // not fresh: what stands, stands
+void Coordinator::absorb(const LeaderTable& input) {
+  if (!remotely_led_.contains(input.group) || !input.fresh) return;  // not fresh: keep the last table
   Table table;
-  table.made = now_;
-  for (const auto& [name, weight] : e.lines)
+  table.created_at = now_;
+  for (const auto& [name, weight] : input.lines)
     if (const auto id = backend_id(name); id && weight > 0) table.lines[*id] = weight;
-  for (const auto& [tries, level] : e.levels)
+  for (const auto& [tries, level] : input.levels)
     table.levels.push_back({static_cast<FurtherTries>(std::clamp(tries, 0, 3)), std::clamp(level, 0.0, 1.0)});
   if (table.lines.empty()) return;
-  TablePtr& was = followed_[e.group];
-  // Said anew, it counts for a backend that started anew, once its leader must have heard of that too.
-  const bool renewed = was && std::any_of(was->lines.begin(), was->lines.end(), [&](const auto& line) {
-                         const auto row = rows_.find(line.first);
-                         return row != rows_.end() && row->second.learned > was->made &&
-                                now_ - row->second.learned > kLeaderHears;
-                       });
-  if (was && !renewed && was->lines == table.lines && was->levels == table.levels) return;
+  TablePtr& was = leader_tables_[input.group];
+  // If the leader repeats the same lines after it must have noticed a backend's restart, the table counts as
+  // made after the restart.
+  const bool repeated_after_restart =
+      was && std::any_of(was->lines.begin(), was->lines.end(), [&](const auto& line) {
+        const auto record = backends_.find(line.first);
+        return record != backends_.end() && record->second.invalidated_at > was->created_at &&
+               now_ - record->second.invalidated_at > kLeaderPropagation;
+      });
+  if (was && !repeated_after_restart && was->lines == table.lines && was->levels == table.levels) return;
   table.version = ++table_version_;
   was = std::make_shared<const Table>(std::move(table));
-  dirty_ = true;
+  publish_needed_ = true;
 }
 
-// Till a leader's own table has come into force, what was followed before goes on.
-TablePtr Coordinator::table_of_group(ProxyId group) const {
-  if (!led_elsewhere_.contains(group))
+// Until a new leader's own table is in force, the former leader's table applies.
+TablePtr Coordinator::group_table_for(ProxyId group) const {
+  if (!remotely_led_.contains(group))
     if (const auto held = channel_.in_force().find(group); held != channel_.in_force().end())
       return held->second;
-  const auto it = followed_.find(group);
-  return it == followed_.end() ? TablePtr{} : it->second;
+  const auto it = leader_tables_.find(group);
+  return it == leader_tables_.end() ? TablePtr{} : it->second;
 }
 
 }  // namespace gorsemount::coordinator
--- a/src/coordinator/types.hpp
+++ b/src/coordinator/types.hpp
@@ -1,4 +1,4 @@
-// What the coordinator's core is told, and what it hands out. No I/O, no clock, no wire.
+// Inputs and outputs of the coordinator's core. No I/O, no clock, no wire format.
 #pragma once
 
 #include <compare>
@@ -22,19 +22,20 @@
   double billed_value = 0;
 };
 
-// Clients that are led alike: what the module calls a proxy. Its place in the settings is its ProxyId.
+// Clients that share a table; a proxy in the policy's terms. The index in the settings is the ProxyId.
 struct Group {
   std::string name;
   ZoneId zone;
   std::vector<Prefix> sources;
-  double usual_rate = 0;  // invocations a second, till it is known better
+  double usual_rate = 0;  // expected invocations per second, until measured
 };
 
-// A plain proxy with a runtime socket. Its ProxyId is kFirstForwarderId and its place.
+// A proxy that is configured through its runtime socket. Its ProxyId is kFirstForwarderId plus its index.
 struct Forwarder {
   std::string name;
   ZoneId zone;
-  std::vector<Prefix> sources;  // from which it calls workers: what they count of it, it reports itself
+  // addresses it calls workers from; workers' counts of these are ignored, since it reports itself
+  std::vector<Prefix> sources;
   double usual_rate = 1;
 };
 inline constexpr std::uint16_t kFirstForwarderId = 30000;  // above all groups
@@ -42,18 +43,19 @@
 
 struct Settings {
   std::uint64_t seed = 0;
-  ZoneId zone;  // where this coordinator stands
+  ZoneId zone;  // zone of this coordinator
   std::vector<std::string> zones;
   std::vector<OperationInfo> operations;
-  std::vector<Group> groups;  // the last one takes whoever fits nowhere else
+  std::vector<Group> groups;  // the last one takes all other sources
   std::vector<Forwarder> forwarders;
-  bool spill = false;                        // flows by tiers of preference between zones (spill/spill.hpp)
+  bool spill = false;                        // distribute traffic between zones by tier (spill/spill.hpp)
   std::vector<std::vector<int>> zone_tiers;  // [proxy zone][backend zone]: 0 own, 1 near, 2 far
-  double fleet_rate = 0;   // invocations a second that all forwarders together let in; 0: any
-  double retry_share = 0;  // of first tries that forwarders may try again; 0: as the tables say
+  double fleet_rate = 0;  // admission limit of all forwarders together, invocations per second; 0: none
+  // retry budget: retries per first try of forwarders; 0: only the tables' rules apply
+  double retry_share = 0;
   Span retry_window = Span::seconds(10);
-  std::vector<Prefix> trusted_resolvers;  // whose word on a client's subnet counts (RFC 7871)
-  bool levels = false;                    // admission levels are published
+  std::vector<Prefix> trusted_resolvers;  // their client subnets are used (RFC 7871)
+  bool levels = false;                    // publish admission levels
   Span report_every, late_after;
   double backlog = 0, lines_per_second = 0, per_message = 0;
   int messages_most = 0;
@@ -63,10 +65,10 @@
   Span unserved, drain_grace, cold_for;
   bool removal_binds = true;
   double cold_from = 0, tip_multiple = 0;
-  Span use_after;  // from a client's receipt of an answer to its last first use of it
+  Span use_after;  // time from receiving an answer until a client last starts to use it
   Span lifetime_most, group_idle;
-  int lines_most = 0;      // of one SRV answer
-  int addresses_most = 0;  // of one A or AAAA answer
+  int lines_most = 0;      // per SRV answer
+  int addresses_most = 0;  // per A or AAAA answer
 };
 
 struct RosterEntry {
@@ -75,19 +77,19 @@
   Endpoint at;
   double weight = 1;
   Availability availability = Availability::ready;
-  std::uint32_t operations = ~0U;  // bit k: open to operation k
+  std::uint32_t operations = ~0U;  // bit k: accepts operation k
   bool operator==(const RosterEntry&) const = default;
 };
 
-// A worker's own word on its load: counters since its start.
+// Load reported by a worker; counters are totals since its start.
 struct LoadSample {
   struct Count {
     OperationId operation;
     Prefix source;
     std::uint64_t taken = 0, succeeded = 0, errored = 0, refused = 0;
-    double latency = 0;  // of the succeeded ones together, s
+    double latency = 0;  // sum over the succeeded ones, s
   };
-  std::string boot;   // differs between two starts
+  std::string boot;   // boot id, different for each start of the process
   double uptime = 0;  // s
   bool draining = false;
   std::optional<double> util, queue;
@@ -97,7 +99,7 @@
 // ---- Inputs --------------------------------------------------------------------------------------------
 
 struct RosterUpdate {
-  std::vector<RosterEntry> entries;  // the whole list
+  std::vector<RosterEntry> entries;  // complete list
 };
 struct LoadReport {
   BackendId backend;
@@ -108,7 +110,7 @@
   BackendId backend;
   std::string reason;
 };
-enum class Health { passed, failed, refused };  // refused: nothing listens at its address
+enum class Health { passed, failed, refused };  // refused: nothing listens at the address
 struct HealthCheckResult {
   BackendId backend;
   Health health = Health::failed;
@@ -119,14 +121,14 @@
 };
 struct ForwarderJoined {
   ProxyId forwarder;
-  bool taken_over = false;  // another controller led it before, or may have
+  bool taken_over = false;  // led by another controller before, or possibly so
   std::map<std::string, double> current_weights =
-      {};  // weights of the backends that it picks, as it was found
+      {};  // weights in use at the forwarder when it was connected, by backend
 };
 struct ForwarderLeft {
   ProxyId forwarder;
 };
-// What a forwarder met since its last report.
+// Counts of a forwarder since its last report.
 struct ForwarderReport {
   ProxyId forwarder;
   struct Row {
@@ -137,14 +139,14 @@
   };
   std::vector<Row> rows;
   std::vector<std::pair<OperationId, int>> arrived;
-  int further = 0;  // tries beyond the first of an invocation, of all operations
+  int further = 0;  // tries beyond the first of an invocation, all operations together
 };
-// It holds a version of its table, by its own answer.
+// The forwarder has confirmed that it uses this version of its table.
 struct ForwarderAppliedTable {
   ProxyId forwarder;
   std::uint64_t version = 0;
 };
-// What a person orders. Refused with a reason, or in force till its lifetime is over.
+// An operator's order. It is rejected with a reason, or in force until its lifetime ends.
 struct OperatorCommand {
   enum class Action {
     set_weight,
@@ -158,27 +160,28 @@
   std::string name;  // of a backend or a zone
   double weight = 0;
   Span lifetime;
-  bool force = false;  // of a zone's drain: even if the others have not shown room for its work
+  bool force = false;  // drain the zone even if the other zones have not shown enough spare capacity
 };
-// What another life or another controller knew, so far as it is believed (recovery/belief.hpp).
+// Facts from an earlier run or from another controller, as far as they are accepted (recovery/belief.hpp).
 struct FactsReceived {
   std::vector<recovery::Entry> facts;
-  bool from_previous_run = false;  // of this coordinator's life before: its forwarders hold what it ordered
+  // from this coordinator's own earlier run: its forwarders still have the tables it ordered
+  bool from_previous_run = false;
 };
-// In a shared fleet: whether this controller leads a group. Alone, all are led.
+// Whether this controller leads a group. Without a cluster it leads all groups.
 struct GroupLeadership {
   ProxyId group;
   bool locally_led = true;
 };
-// What the leader of a group that is led elsewhere has it use. Not fresh: nothing is heard of a leader; what
-// stands is kept then, less what rules force, and nothing is raised.
+// Table of a group that is led by another controller. If not fresh, the leader is not reachable: the last
+// table stays in force, except that unusable backends are removed, and no weight is raised.
 struct LeaderTable {
   ProxyId group;
   bool fresh = false;
   std::map<std::string, double> lines;         // by backend
   std::vector<std::pair<int, double>> levels;  // tries and level, by operation
 };
-// What a reload may change while state is kept: groups, lifetimes, sizes of answers.
+// Settings that a reload may change without losing state: groups, lifetimes, sizes of answers.
 struct SettingsReloaded {
   Settings settings;
 };
@@ -187,12 +190,12 @@
                  ForwarderJoined, ForwarderLeft, ForwarderReport, ForwarderAppliedTable, OperatorCommand,
                  FactsReceived, GroupLeadership, LeaderTable>;
 
-// ---- What is published: immutable, swapped whole --------------------------------------------------------
+// ---- Published state: immutable, replaced as a whole -----------------------------------------------------
 
 struct Line {
   BackendId backend;
   double weight = 0;
-  int tier = 0;  // 0: work is meant to go there; else only where lines of lower tiers fail
+  int tier = 0;  // 0: primary; higher tiers are used only if the lines of lower tiers fail
   bool operator==(const Line&) const = default;
 };
 struct AdmissionLevel {
@@ -200,9 +203,9 @@
   double level = 1;
   bool operator==(const AdmissionLevel&) const = default;
 };
-// What a group's clients are to use for an operation. Lines by backend, each above 0.
+// What the clients of a group use for an operation. One line for each backend, with a weight above 0.
 struct RoutingView {
-  std::uint64_t version = 0;  // differs between any two views of one coordinator
+  std::uint64_t version = 0;  // unique among the views of one coordinator
   OperationId operation;
   std::vector<Line> lines;
   AdmissionLevel level;
@@ -211,31 +214,32 @@
   std::string name;
   Endpoint at;
   ZoneId zone;
-  bool accepts_new_work = true;  // may get new work: neither draining nor gone
+  bool accepts_new_work = true;  // neither draining nor gone
   bool operator==(const DirectoryEntry&) const = default;
 };
 struct PublishedState {
   std::uint64_t version = 0;
   std::shared_ptr<const std::map<BackendId, DirectoryEntry>> directory;
   std::vector<std::vector<std::shared_ptr<const RoutingView>>> views;  // by group, then by operation
-  Span lifetime;                                                       // what an answer may be kept for
+  Span lifetime;                                                       // time to live of answers
 };
 
 // ---- Effects -------------------------------------------------------------------------------------------
 
-// For the log: an event's name and what belongs to it.
+// A log entry: the name of the event and its fields.
 struct LogEvent {
   enum class Severity { info, warning } severity = Severity::info;
   std::string event;
   std::vector<std::pair<std::string, std::string>> fields;
 };
-// A message that left for a group's clients, for the records.
+// An update sent to the clients of a group, for the records.
 struct Message {
   ProxyId group;
-  double lines = 0;    // with its own overhead
-  double waiting = 0;  // in the channel, this message included
+  double lines = 0;    // including the overhead per message
+  double waiting = 0;  // backlog of the channel, including this message
 };
-// What a forwarder is to hold, one entry an operation. A front works out the difference to what it does hold.
+// Desired state of a forwarder, one entry for each operation. The driver computes the difference to the state
+// that the forwarder has.
 struct DesiredLine {
   BackendId backend;
   std::string name;
@@ -249,23 +253,23 @@
     std::string operation;
     std::vector<DesiredLine> lines;
     AdmissionLevel level;
-    double rate_limit = -1;  // invocations a second that it may let in; below 0: any
+    double rate_limit = -1;  // admission limit, invocations per second; below 0: none
   };
   std::vector<Operation> operations;
-  double retry_ratio = -1;  // of its first tries, that it may try again; below 0: as the levels say
-  std::vector<std::string> known_backends;  // names of all backends that there are
+  double retry_ratio = -1;  // retry budget: retries per first try; below 0: only the levels' rules apply
+  std::vector<std::string> known_backends;  // names of all backends in the roster
 };
 struct Delivery {
   ProxyId forwarder;
   std::shared_ptr<const DesiredTable> table;
 };
 struct Effects {
-  std::shared_ptr<const PublishedState> published;  // absent: as before
+  std::shared_ptr<const PublishedState> published;  // null: unchanged
   std::vector<LogEvent> log_events;
   std::vector<Message> messages;
   std::vector<Delivery> deliveries;
-  std::vector<std::string> command_results;  // to what persons ordered, in their order; empty: done
-  Instant next_wakeup;                       // step again by then, even with no input
+  std::vector<std::string> command_results;  // results of operators' orders, in input order; empty: accepted
+  Instant next_wakeup;                       // call step() again by then, even without input
 };
 
 }  // namespace gorsemount::coordinator
--- a/src/coordinator/zone_spillover.cpp
+++ b/src/coordinator/zone_spillover.cpp
@@ -1,6 +1,7 @@
-// Flows between zones: what spill decided is laid over the module's tables, one version for each zone of
-// proxies. Who decides what: the module, which backends may have work and how much beside their like; spill,
-// how a zone of proxies splits between zones of backends; neither gives what the other takes away.
+// Spillover between zones: applies the zone shares that src/spill decides to the policy's tables, one variant
+// for each zone of proxies. The policy decides which backends get work, and their weights relative to the
+// others of a zone; spill decides how the work of a proxy zone is split between backend zones. Neither gives
+// a backend more than the other allows.
 #include <algorithm>
 
 #include "coordinator/coordinator.hpp"
@@ -9,148 +10,150 @@
 
 namespace {
 
-// No line gets over so many times what the module gave it: a zone of which a single backend is left is not
-// for all.
-constexpr double kFactorMost = 6;
-// A link of which the module's ladder has left less is cut, as far as flows go.
-constexpr double kLinkGone = 0.05;
-// From here on tables are the module's for one zone of proxies; below, the cuts of the shared one.
-constexpr std::uint16_t kFirstOwnTable = 1000;
-// A cut's share that moved by less is noise of what came.
-constexpr double kShareMoved = 0.05;
-// Rounds of demand that count: at 500 invocations a round and zone their mean is noise by 1.5%.
+// Limit for the increase of a line over the policy's weight: a zone with a single backend left must not get
+// all the traffic.
+constexpr double kMaxLineFactor = 6;
+// Links whose remaining share by the policy is lower are not used for spillover.
+constexpr double kDeadLinkShare = 0.05;
+// Ids from here on are tables of a single proxy zone; lower ids are subsets of the shared table.
+constexpr std::uint16_t kFirstZoneTableId = 1000;
+// Smaller changes of a subset's share are noise of the demand.
+constexpr double kMinShareChange = 0.05;
+// Report rounds in the mean demand: at 500 invocations per round and zone its noise is 1.5%.
 constexpr std::size_t kDemandRounds = 8;
-// A trip is the middle of so many rounds; a backend counts that was met so often in one.
-constexpr std::size_t kTripRounds = 9;
-constexpr int kTripTries = 2;
+// The latency between zones is the median of so many rounds; a backend counts in a round with at least so
+// many tries.
+constexpr std::size_t kLatencyRounds = 9;
+constexpr int kMinLatencyTries = 2;
 
 }  // namespace
 
-void Coordinator::decide_spill(const std::vector<Event>& reports) {
-  const std::size_t zones = s_.zones.size();
+void Coordinator::update_spillover(const std::vector<Event>& reports) {
+  const std::size_t zones = settings_.zones.size();
   std::vector<spill::ZoneNow> now(zones);
-  std::vector<std::pair<double, double>> busy(zones);  // sum, and of how many
-  for (const auto& [id, row] : rows_)
-    if (row.told && row.told->availability == Availability::ready)
-      now[row.entry.zone.value].listed += row.told->weight;
-  for (const auto& [id, table] : versions_) {
-    // The cuts of the shared table; a zone's own tables repeat their lines.
-    if (id.value >= kFirstOwnTable) continue;
+  std::vector<std::pair<double, double>> utilization(zones);  // sum and count
+  for (const auto& [id, record] : backends_)
+    if (record.announced && record.announced->availability == Availability::ready)
+      now[record.entry.zone.value].listed += record.announced->weight;
+  for (const auto& [id, table] : current_tables_) {
+    // Subsets of the shared table only; the tables of single zones repeat their lines.
+    if (id.value >= kFirstZoneTableId) continue;
     for (const auto& [backend, weight] : table->lines)
-      if (const auto row = rows_.find(backend); row != rows_.end())
-        now[row->second.entry.zone.value].weight += weight;
+      if (const auto record = backends_.find(backend); record != backends_.end())
+        now[record->second.entry.zone.value].weight += weight;
   }
   double mean_cost = 0, all = 0;
   std::vector<spill::Problem::Class> classes;
-  for (const auto& op : s_.operations)
+  for (const auto& op : settings_.operations)
     classes.push_back({op.billed_value, op.latency_objective.seconds(), std::vector<double>(zones, 0)});
   for (const auto& event : reports)
     if (const auto* d = std::get_if<DemandReport>(&event);
         d != nullptr && d->operation.value < classes.size() && d->over > Span{}) {
-      const bool front = is_forwarder(d->proxy);
-      const std::size_t place = front ? d->proxy.value - kFirstForwarderId : d->proxy.value;
-      if (place >= (front ? s_.forwarders.size() : s_.groups.size())) continue;
-      const ZoneId zone = front ? s_.forwarders[place].zone : s_.groups[place].zone;
+      const bool from_forwarder = is_forwarder(d->proxy);
+      const std::size_t index = from_forwarder ? d->proxy.value - kFirstForwarderId : d->proxy.value;
+      if (index >= (from_forwarder ? settings_.forwarders.size() : settings_.groups.size())) continue;
+      const ZoneId zone = from_forwarder ? settings_.forwarders[index].zone : settings_.groups[index].zone;
       const double rate = d->arrived / d->over.seconds();
       classes[d->operation.value].demand[zone.value] += rate;
       mean_cost += rate * classes[d->operation.value].cost, all += rate;
     }
   mean_cost = all > 0 ? mean_cost / all : 0;
-  // A round's count of a zone is noise by some percent; the mean of the last ones is not.
-  demands_.push_back(classes);
-  if (demands_.size() > kDemandRounds) demands_.pop_front();
+  // The demand of one round and zone varies by some percent, so the mean of the last rounds is used.
+  recent_demand_.push_back(classes);
+  if (recent_demand_.size() > kDemandRounds) recent_demand_.pop_front();
   for (std::size_t c = 0; c < classes.size(); ++c)
     for (std::size_t z = 0; z < zones; ++z) {
       double sum = 0;
-      for (const auto& round : demands_) sum += round[c].demand[z];
-      classes[c].demand[z] = sum / static_cast<double>(demands_.size());
+      for (const auto& round : recent_demand_) sum += round[c].demand[z];
+      classes[c].demand[z] = sum / static_cast<double>(recent_demand_.size());
     }
-  // Reports count health calls too, of which each worker gets as many: so what came in is what arrived, and
-  // they tell only whose part of it came back.
-  double came_back = 0;
+  // Reports also count health checks, equally many for each worker. So the total is taken from the demand,
+  // and the reports only give each zone's share of it.
+  double total_succeeded = 0;
   for (const auto& event : reports)
     if (const auto* r = std::get_if<BackendReport>(&event); r != nullptr && r->over > Span{})
-      came_back += (r->tries - r->errored) / r->over.seconds();
+      total_succeeded += (r->tries - r->errored) / r->over.seconds();
   for (const auto& event : reports)
     if (const auto* r = std::get_if<BackendReport>(&event);
-        r != nullptr && r->over > Span{} && came_back > 0) {
-      const auto row = rows_.find(r->backend);
-      if (row == rows_.end()) continue;
-      const std::size_t z = row->second.entry.zone.value;
-      now[z].carried += (r->tries - r->errored) / r->over.seconds() / came_back * all * mean_cost;
-      if (r->busy) busy[z].first += *r->busy, busy[z].second += 1;
+        r != nullptr && r->over > Span{} && total_succeeded > 0) {
+      const auto record = backends_.find(r->backend);
+      if (record == backends_.end()) continue;
+      const std::size_t z = record->second.entry.zone.value;
+      now[z].carried += (r->tries - r->errored) / r->over.seconds() / total_succeeded * all * mean_cost;
+      if (r->busy) utilization[z].first += *r->busy, utilization[z].second += 1;
     }
   for (std::size_t z = 0; z < zones; ++z)
-    now[z].pressure = busy[z].second > 0 ? busy[z].first / busy[z].second : 0;
-  spill::Cut cut;
-  if (decide_.export_state)
-    for (const auto& [link, rung] : decide_.export_state(now_).links)
-      if (rung.share < kLinkGone) cut.emplace(link.first.value, link.second.value);
-  const auto d = spill_->decide(now_, now, classes, trips(reports), cut);
-  if (d.tiers_doubted != tiers_doubted_) {
+    now[z].pressure = utilization[z].second > 0 ? utilization[z].first / utilization[z].second : 0;
+  spill::Cut dead_links;
+  if (decision_maker_.export_state)
+    for (const auto& [link, rung] : decision_maker_.export_state(now_).links)
+      if (rung.share < kDeadLinkShare) dead_links.emplace(link.first.value, link.second.value);
+  const auto d = spill_->decide(now_, now, classes, zone_latencies(reports), dead_links);
+  if (d.tiers_doubted != tier_mismatch_) {
     for (std::size_t z = 0; z < d.tiers_doubted.size(); ++z)
-      if (d.tiers_doubted[z] && (tiers_doubted_.empty() || !tiers_doubted_[z]))
-        note(LogEvent::Severity::warning, "tiers_doubted", {{"zone", s_.zones[z]}});
-    tiers_doubted_ = d.tiers_doubted;
+      if (d.tiers_doubted[z] && (tier_mismatch_.empty() || !tier_mismatch_[z]))
+        log_event(LogEvent::Severity::warning, "tiers_doubted", {{"zone", settings_.zones[z]}});
+    tier_mismatch_ = d.tiers_doubted;
   }
-  if (d.strain != strain_) {
+  if (d.strain != overloaded_) {
     std::string lost, drained;
     for (std::size_t z = 0; z < zones; ++z) {
       if (now[z].listed > 0 && now[z].weight < 0.1 * now[z].listed)
-        lost += (lost.empty() ? "" : " ") + s_.zones[z];
-      if (persons_.drained(s_.zones[z])) drained += (drained.empty() ? "" : " ") + s_.zones[z];
+        lost += (lost.empty() ? "" : " ") + settings_.zones[z];
+      if (operator_overrides_.drained(settings_.zones[z]))
+        drained += (drained.empty() ? "" : " ") + settings_.zones[z];
     }
-    // A person's drain stands all the same: whoever ordered it is told what it costs now.
-    note(LogEvent::Severity::warning, d.strain ? "strain_began" : "strain_over",
-         {{"zones_lost", lost}, {"drained_by_person", drained}});
-    strain_ = d.strain;
+    // An operator's drain stays in force; the log tells the operator what it costs now.
+    log_event(LogEvent::Severity::warning, d.strain ? "strain_began" : "strain_over",
+              {{"zones_lost", lost}, {"drained_by_person", drained}});
+    overloaded_ = d.strain;
   }
-  share_cuts();
-  if (d.parts.empty() || (d.parts == parts_of_zones_ && d.turn_to == turn_to_)) return;
-  parts_of_zones_ = d.parts, turn_to_ = d.turn_to;
-  ++spill_version_;
+  update_subset_shares();
+  if (d.parts.empty() || (d.parts == zone_shares_ && d.turn_to == failover_tiers_)) return;
+  zone_shares_ = d.parts, failover_tiers_ = d.turn_to;
+  ++spillover_generation_;
 }
 
-// How much of a zone of proxies' work goes by each cut.
-void Coordinator::share_cuts() {
+// Updates the share of each proxy zone's work that is bound to each subset.
+void Coordinator::update_subset_shares() {
   std::map<std::pair<TableId, ZoneId>, double> share;
   std::map<ZoneId, double> all;
-  for (const auto& [proxy, table] : bound_) {
-    const ZoneId zone = is_forwarder(proxy) ? s_.forwarders[proxy.value - kFirstForwarderId].zone
-                                            : s_.groups[proxy.value].zone;
-    const double rate = attendance_.usual_rate(proxy);
+  for (const auto& [proxy, table] : bound_tables_) {
+    const ZoneId zone = is_forwarder(proxy) ? settings_.forwarders[proxy.value - kFirstForwarderId].zone
+                                            : settings_.groups[proxy.value].zone;
+    const double rate = proxy_presence_.usual_rate(proxy);
     share[{table, zone}] += rate, all[zone] += rate;
   }
-  bool moved = share.size() != cut_shares_.size();
+  bool changed = share.size() != subset_shares_.size();
   for (auto& [key, part] : share) {
     part = all[key.second] > 0 ? part / all[key.second] : 0;
-    const auto was = cut_shares_.find(key);
-    moved = moved || was == cut_shares_.end() || std::abs(was->second - part) > kShareMoved;
+    const auto was = subset_shares_.find(key);
+    changed = changed || was == subset_shares_.end() || std::abs(was->second - part) > kMinShareChange;
   }
-  if (!moved) return;
-  cut_shares_ = std::move(share);
-  ++spill_version_;
+  if (!changed) return;
+  subset_shares_ = std::move(share);
+  ++spillover_generation_;
 }
 
-// The parts of a zone of proxies' work as one cut is to carry them: a cut that has more than its share of a
-// zone's lines takes more of what goes there, so that a worker's load does not hang on the cut it fell into.
-// What a cut has too few lines for goes to the other zones by their lines.
-std::vector<double> Coordinator::parts_of_cut(const Table& table, ZoneId proxies,
-                                              const std::vector<double>& in_table) const {
-  std::vector<double> parts = parts_of_zones_[proxies.value], total(parts.size(), 0);
-  const auto share = cut_shares_.find({table.id, proxies});
-  if (share == cut_shares_.end() || share->second <= 0) return parts;
-  for (const auto& [id, version] : versions_)
-    if (id.value < kFirstOwnTable)
+// The zone shares for one subset: a subset with more than its share of a backend zone's lines sends more of
+// its work there, so that a worker's load does not depend on its subset. Work for which the subset has too
+// few lines goes to the other zones in proportion to their lines.
+std::vector<double> Coordinator::subset_zone_shares(const Table& table, ZoneId proxies,
+                                                    const std::vector<double>& in_table) const {
+  std::vector<double> parts = zone_shares_[proxies.value], total(parts.size(), 0);
+  const auto share = subset_shares_.find({table.id, proxies});
+  if (share == subset_shares_.end() || share->second <= 0) return parts;
+  for (const auto& [id, version] : current_tables_)
+    if (id.value < kFirstZoneTableId)
       for (const auto& [backend, weight] : version->lines)
-        if (const auto row = rows_.find(backend); row != rows_.end())
-          total[row->second.entry.zone.value] += weight;
+        if (const auto record = backends_.find(backend); record != backends_.end())
+          total[record->second.entry.zone.value] += weight;
   double sum = 0, lines = 0;
   for (std::size_t z = 0; z < parts.size(); ++z) {
     parts[z] *= total[z] > 0 ? in_table[z] / total[z] / share->second : 0;
     sum += parts[z], lines += parts[z] > 0 ? in_table[z] : 0;
   }
-  if (sum <= 0 || lines <= 0) return parts_of_zones_[proxies.value];
+  if (sum <= 0 || lines <= 0) return zone_shares_[proxies.value];
   if (sum >= 1) {
     for (double& part : parts) part /= sum;
     return parts;
@@ -168,85 +171,89 @@
   return parts;
 }
 
-// Of each round the quickest backends' means, so that a queue is not taken for a long way; of those the
-// middle.
-spill::Trips Coordinator::trips(const std::vector<Event>& reports) {
-  spill::Trips quickest;
+// Latency between zones: the mean of the fastest backend in each round, so that queueing does not count as
+// distance, and the median over rounds.
+spill::Trips Coordinator::zone_latencies(const std::vector<Event>& reports) {
+  spill::Trips fastest;
   for (const auto& event : reports)
     if (const auto* r = std::get_if<BackendReport>(&event);
-        r != nullptr && r->tries - r->errored >= kTripTries && r->mean_latency > Span{}) {
-      const auto row = rows_.find(r->backend);
-      if (row == rows_.end() || !warm(row->second)) continue;
+        r != nullptr && r->tries - r->errored >= kMinLatencyTries && r->mean_latency > Span{}) {
+      const auto record = backends_.find(r->backend);
+      if (record == backends_.end() || !warm(record->second)) continue;
       const auto [it, fresh] =
-          quickest.try_emplace({r->proxies_in.value, row->second.entry.zone.value}, r->mean_latency);
+          fastest.try_emplace({r->proxies_in.value, record->second.entry.zone.value}, r->mean_latency);
       if (!fresh) it->second = std::min(it->second, r->mean_latency);
     }
-  spill::Trips middle;
-  for (const auto& [pair, span] : quickest) {
-    auto& rounds = trips_[pair];
+  spill::Trips medians;
+  for (const auto& [pair, span] : fastest) {
+    auto& rounds = recent_latencies_[pair];
     rounds.push_back(span);
-    if (rounds.size() > kTripRounds) rounds.pop_front();
-    if (rounds.size() < kTripRounds) continue;
+    if (rounds.size() > kLatencyRounds) rounds.pop_front();
+    if (rounds.size() < kLatencyRounds) continue;
     std::vector<Span> sorted{rounds.begin(), rounds.end()};
-    std::nth_element(sorted.begin(), sorted.begin() + kTripRounds / 2, sorted.end());
-    middle[pair] = sorted[kTripRounds / 2];
+    std::nth_element(sorted.begin(), sorted.begin() + kLatencyRounds / 2, sorted.end());
+    medians[pair] = sorted[kLatencyRounds / 2];
   }
-  return middle;
+  return medians;
 }
 
-TablePtr Coordinator::spilled(TablePtr table, ZoneId proxies) {
-  if (parts_of_zones_.empty() || proxies.value >= parts_of_zones_.size()) return table;
-  auto& [key, made] = spilled_[{table->id, proxies}];
-  if (made && key == std::pair{table->version, spill_version_}) return made;
-  key = {table->version, spill_version_};
-  std::vector<double> weight(s_.zones.size(), 0);
+TablePtr Coordinator::spillover_table(TablePtr table, ZoneId proxies) {
+  if (zone_shares_.empty() || proxies.value >= zone_shares_.size()) return table;
+  auto& [key, previous] = spillover_tables_[{table->id, proxies}];
+  if (previous && key == std::pair{table->version, spillover_generation_}) return previous;
+  key = {table->version, spillover_generation_};
+  std::vector<double> weight(settings_.zones.size(), 0);
   double all = 0;
   for (const auto& [id, w] : table->lines)
-    if (const auto row = rows_.find(id); row != rows_.end())
-      weight[row->second.entry.zone.value] += w, all += w;
-  const auto parts = parts_of_cut(*table, proxies, weight);
+    if (const auto record = backends_.find(id); record != backends_.end())
+      weight[record->second.entry.zone.value] += w, all += w;
+  const auto parts = subset_zone_shares(*table, proxies, weight);
   Table fresh = *table;
-  bool warm_left = false;
+  bool has_warm = false;
   for (auto it = fresh.lines.begin(); it != fresh.lines.end();) {
-    const auto row = rows_.find(it->first);
-    const std::size_t z = row == rows_.end() ? 0 : row->second.entry.zone.value;
-    double factor =
-        row == rows_.end() || weight[z] <= 0 ? 1 : std::min(kFactorMost, parts[z] * all / weight[z]);
-    // A backend that is starting never gets more than the module's ramp gave it.
-    if (row != rows_.end() && !warm(row->second)) factor = std::min(1.0, factor);
+    const auto record = backends_.find(it->first);
+    const std::size_t z = record == backends_.end() ? 0 : record->second.entry.zone.value;
+    double factor = record == backends_.end() || weight[z] <= 0
+                        ? 1
+                        : std::min(kMaxLineFactor, parts[z] * all / weight[z]);
+    // A backend in slow start never gets more than the policy gave it.
+    if (record != backends_.end() && !warm(record->second)) factor = std::min(1.0, factor);
     it->second *= factor;
-    // Under a thousandth of a usual line it is worth no message and no connection.
+    // Below a thousandth of a usual line it is not worth a message and a connection.
     if (factor < 1e-3) {
       it = fresh.lines.erase(it);
       continue;
     }
-    warm_left = warm_left || (row != rows_.end() && warm(row->second));
+    has_warm = has_warm || (record != backends_.end() && warm(record->second));
     ++it;
   }
-  if (!warm_left) return made = table;  // rule 1 goes before any preference
-  // What moved by less than a tenth keeps its number, or every round would send every line; but for a backend
-  // that is starting, which must not keep more than it is to have. Only what a line weighs beside the others
-  // counts, so both tables are brought to one scale first: a proxy zone that has lost a whole zone of lines
-  // keeps all that it has left as it is.
-  if (made) {
+  // a warm backend for each proxy takes precedence over any zone preference
+  if (!has_warm) return previous = table;
+  // A line that changed by less than a tenth keeps its weight, or each round would resend every line. A cold
+  // backend must not keep a weight that is too high. Only relative weights count, so the tables are first
+  // scaled to the same total: a proxy zone that has lost all lines of one backend zone keeps its other lines
+  // as they are.
+  if (previous) {
     double before = 0, after = 0;
     for (const auto& [id, w] : fresh.lines)
-      if (const auto was = made->lines.find(id); was != made->lines.end()) before += was->second, after += w;
+      if (const auto was = previous->lines.find(id); was != previous->lines.end())
+        before += was->second, after += w;
     const double scale = after > 0 && before > 0 ? before / after : 1;
     for (auto& [id, w] : fresh.lines) {
       w *= scale;
-      const auto was = made->lines.find(id);
-      if (was == made->lines.end() || std::abs(was->second - w) >= 0.1 * was->second) continue;
-      const auto row = rows_.find(id);
-      if (w >= was->second || (row != rows_.end() && warm(row->second))) w = was->second;
+      const auto was = previous->lines.find(id);
+      if (was == previous->lines.end() || std::abs(was->second - w) >= 0.1 * was->second) continue;
+      const auto record = backends_.find(id);
+      if (w >= was->second || (record != backends_.end() && warm(record->second))) w = was->second;
     }
   }
-  if (proxies.value < turn_to_.size()) fresh.tiers = turn_to_[proxies.value];
-  if (made && made->lines == fresh.lines && made->levels == fresh.levels && made->tiers == fresh.tiers)
-    return made;
+  if (proxies.value < failover_tiers_.size()) fresh.tiers = failover_tiers_[proxies.value];
+  if (previous && previous->lines == fresh.lines && previous->levels == fresh.levels &&
+      previous->tiers == fresh.tiers)
+    return previous;
   fresh.version = ++table_version_;
   fresh.urgent = table->urgent;
-  return made = std::make_shared<const Table>(std::move(fresh));
+  return previous = std::make_shared<const Table>(std::move(fresh));
 }
 
 }  // namespace gorsemount::coordinator
--- a/tests/coordinator/coordinator_test.cpp
+++ b/tests/coordinator/coordinator_test.cpp
@@ -1,18 +1,18 @@
-// The core, stepped by hand through the failures that it is meant for.
+// Tests of the coordinator's core: step() is called with simulated time through the failures it must handle.
 #include "coordinator/baseline.hpp"
 #include "fixture.hpp"
 
 namespace gorsemount::coordinator {
 namespace {
 
-TEST(Coordinator, PublishesListedWeightsOnAQuietDay) {
+TEST(Coordinator, PublishesListedWeightsWithoutFailures) {
   Rig rig{12};
   rig.seconds(5);
   for (unsigned k = 0; k < 12; ++k) EXPECT_DOUBLE_EQ(rig.weight(0, k), 1);
   EXPECT_TRUE(rig.logged("group_joined"));
 }
 
-TEST(Coordinator, ACrashedWorkerLeavesTheAnswers) {
+TEST(Coordinator, RemovesACrashedWorkerFromAnswers) {
   Rig rig{12};
   rig.seconds(5);
   rig.workers[4].down = true;
@@ -22,34 +22,34 @@
   EXPECT_EQ(rig.weight(0, 5), 1);
 }
 
-TEST(Coordinator, AMachineThatRefusesConnectionsHasNoSuchWorker) {
+TEST(Coordinator, RemovesWorkersThatRefuseConnections) {
   Rig rig{12};
   rig.seconds(5);
   for (const unsigned k : {0U, 3U, 4U, 6U, 9U})
-    rig.workers[k].down = rig.workers[k].refuses = true;  // 5 of 12, a zone among them
+    rig.workers[k].down = rig.workers[k].refuses = true;  // 5 of 12, among them a whole zone
   rig.seconds(0.3);
   for (const unsigned k : {0U, 3U, 4U, 6U, 9U})
-    EXPECT_EQ(rig.weight(0, k), 0) << "no bound on judgements holds back a fact";
+    EXPECT_EQ(rig.weight(0, k), 0) << "refusals are not subject to the exclusion limit";
   rig.restart(4, "second");
   rig.seconds(1);
-  EXPECT_LE(rig.weight(0, 4), 0.3) << "cold, though its health calls are answered";
+  EXPECT_LE(rig.weight(0, 4), 0.3) << "cold, though its health checks pass";
   rig.seconds(25);
   EXPECT_EQ(rig.weight(0, 4), 1);
 }
 
-TEST(Coordinator, AViewInWhichMostOfTheFleetRefusesIsNotBelieved) {
+TEST(Coordinator, IgnoresRefusalsOfMostOfTheFleet) {
   Rig rig{12};
   rig.seconds(5);
   for (unsigned k = 0; k < 12; ++k) rig.workers[k].down = rig.workers[k].refuses = true;
   rig.seconds(10);
   EXPECT_TRUE(rig.logged("absence_not_believed"));
-  EXPECT_GE(rig.published->views[0][0]->lines.size(), 6U) << "rule 1";
+  EXPECT_GE(rig.published->views[0][0]->lines.size(), 6U) << "no group may be left without workers";
   for (unsigned k = 0; k < 12; ++k) rig.workers[k].down = rig.workers[k].refuses = false;
   rig.seconds(40);
   for (unsigned k = 0; k < 12; ++k) EXPECT_EQ(rig.weight(0, k), 1);
 }
 
-TEST(Coordinator, AWorkerThatTakesAndNeverAnswersIsNoticed) {
+TEST(Coordinator, ExcludesAWorkerThatNeverAnswers) {
   Rig rig{12};
   rig.seconds(5);
   rig.workers[2].hangs = true;
@@ -57,25 +57,25 @@
   EXPECT_EQ(rig.weight(0, 2), 0);
 }
 
-TEST(Coordinator, AWorkerThatHangsButPassesItsHealthCallsIsNoticedByWhatItNeverEnded) {
+TEST(Coordinator, CountsInvocationsThatNeverEndAsErrors) {
   Settings s = test_settings();
-  ReportAggregator evidence{s, [](const Address&) { return ProxyId{0}; }};
+  ReportAggregator aggregator{s, [](const Address&) { return ProxyId{0}; }};
   LoadSample sample{"boot", 10, false, 0.2, 0.0, {}};
   sample.counts.push_back({OperationId{0}, *Prefix::parse("127.1.0.0/24"), 10, 10, 0, 0, 1});
   Instant now = Instant::at_seconds(0);
   int tries = 0, errored = 0;
   for (int k = 0; k < 12; ++k) {
     now = now + Span::seconds(0.5), sample.uptime += 0.5, sample.counts[0].taken += 5;
-    EXPECT_EQ(evidence.load(now, BackendId{1}, now, sample), SampleFault::none);
-    for (const auto& e : evidence.round(now))
+    EXPECT_EQ(aggregator.add_load(now, BackendId{1}, now, sample), SampleFault::none);
+    for (const auto& e : aggregator.take_reports(now))
       if (const auto* r = std::get_if<BackendReport>(&e)) tries += r->tries, errored += r->errored;
   }
   EXPECT_EQ(tries, errored);
-  EXPECT_GE(errored, 25);  // all that is older than the longest timeout, once each
+  EXPECT_GE(errored, 25);  // everything older than the longest timeout, counted once
   EXPECT_LE(errored, 35);
 }
 
-TEST(Coordinator, ADrainIsCutInTheStepThatHearsOfIt) {
+TEST(Coordinator, RemovesADrainingWorkerInTheSameStep) {
   Rig rig{12};
   rig.seconds(5);
   auto roster = rig.roster;
@@ -85,7 +85,7 @@
   EXPECT_FALSE(rig.published->directory->at(*rig.core.backend_id("w3")).accepts_new_work);
 }
 
-TEST(Coordinator, AWorkersOwnWordThatItDrainsCountsToo) {
+TEST(Coordinator, RemovesAWorkerThatReportsDraining) {
   Rig rig{12};
   rig.seconds(5);
   rig.workers[3].draining = true;
@@ -93,8 +93,9 @@
   EXPECT_EQ(rig.weight(0, 3), 0);
 }
 
-// The guard under the decisions: a module that orders a line for a draining worker, or none at all.
-TEST(Coordinator, NoTableSpeaksForADrainingWorkerAndNoneIsEmpty) {
+// The filter and the fallback lines must hold against a policy that orders lines for a draining worker, or no
+// lines.
+TEST(Coordinator, FiltersDrainingWorkersAndFillsEmptyViews) {
   std::vector<Order> next;
   Rig rig{4, test_settings(), [&](Instant, const std::vector<Event>&) { return std::exchange(next, {}); }};
   const auto line = [&](const char* name, double w) {
@@ -109,16 +110,16 @@
   rig.step({RosterUpdate{roster}});
   next = {line("w0", 5)};
   rig.seconds(1);
-  EXPECT_EQ(rig.weight(0, 0), 0) << "rule 3";
+  EXPECT_EQ(rig.weight(0, 0), 0) << "draining workers get no new work";
   EXPECT_GT(rig.core.counters().filtered_lines, 0U);
   next = {line("w0", 0), line("w1", 0)};
   rig.seconds(1);
-  EXPECT_EQ(rig.weight(0, 1), 1) << "rule 1: what is listed and warm stands in";
+  EXPECT_EQ(rig.weight(0, 1), 1) << "fallback to warm ready workers";
   EXPECT_EQ(rig.weight(0, 0), 0);
   EXPECT_GT(rig.core.counters().fallback_views, 0U);
 }
 
-TEST(Coordinator, ARestartedWorkerIsOutUntilATableMadeSinceSpeaksForIt) {
+TEST(Coordinator, ExcludesARestartedWorkerUntilANewerTableListsIt) {
   std::vector<Order> next;
   Rig rig{4, test_settings(), [&](Instant, const std::vector<Event>&) { return std::exchange(next, {}); }};
   for (unsigned k = 0; k < 4; ++k)
@@ -127,13 +128,13 @@
   rig.seconds(1);
   rig.restart(2, "second");
   rig.seconds(1);
-  EXPECT_EQ(rig.weight(0, 2), 0) << "rule 4";
+  EXPECT_EQ(rig.weight(0, 2), 0) << "a cold worker must not get its full weight";
   next = {SetLine{TableId{}, *rig.core.backend_id("w2"), 0.1}};
   rig.seconds(1);
   EXPECT_DOUBLE_EQ(rig.weight(0, 2), 0.1);
 }
 
-TEST(Coordinator, AWholeZoneComesBackColdStepByStep) {
+TEST(Coordinator, ReturnsAColdZoneWithSlowStart) {
   Rig rig{12};
   rig.seconds(5);
   for (unsigned k = 2; k < 12; k += 3) rig.workers[k].down = true;
@@ -151,7 +152,7 @@
   EXPECT_GT(rig.weight(0, 2), 0.9);
 }
 
-TEST(Coordinator, AWorkerThatListsNoStartIsNotTakenForWarmAtOnce) {
+TEST(Coordinator, DelaysAWorkerWithoutAKnownStartTime) {
   Settings s = test_settings();
   Coordinator core{s, policy_decision_maker(s)};
   Instant now = Instant::at_seconds(50);
@@ -161,14 +162,15 @@
   now = now + Span::seconds(0.1);
   e = core.step(now, {LoadReport{*core.backend_id("w0"), now, {"b", 2.0, false, 0.1, 0.0, {}}}});
   ASSERT_TRUE(e.published);
-  EXPECT_EQ(e.published->views[0][0]->lines.size(), 1U) << "cold, but all there is";
-  now = now + Span::seconds(1.5);  // under rule 1's bound the silent ones are taken as listed
+  EXPECT_EQ(e.published->views[0][0]->lines.size(), 1U) << "cold, but the only worker";
+  // before unserved is over, workers that have not reported are taken as listed
+  now = now + Span::seconds(1.5);
   e = core.step(now, {});
   ASSERT_TRUE(e.published);
-  EXPECT_EQ(e.published->views[0][0]->lines.size(), 2U) << "the warm ones; the cold one waits for the module";
+  EXPECT_EQ(e.published->views[0][0]->lines.size(), 2U) << "the warm ones; the cold one waits for the policy";
 }
 
-TEST(Coordinator, OperationsThatAWorkerIsNotOpenToDoNotListIt) {
+TEST(Coordinator, ListsAWorkerOnlyForItsOperations) {
   Rig rig{6};
   rig.seconds(2);
   auto roster = rig.roster;
@@ -179,9 +181,9 @@
   EXPECT_EQ(rig.weight(0, 1, 1), 0);
 }
 
-TEST(Coordinator, TheChannelHoldsBackWhatDoesNotFitAndSendsItMerged) {
+TEST(Coordinator, ChannelDefersUpdatesOverTheBacklogAndMergesThem) {
   Settings s = test_settings();
-  s.backlog = 40, s.lines_per_second = 40;  // a table of 12 lines for two groups does not fit at once
+  s.backlog = 40, s.lines_per_second = 40;  // a table of 12 lines for two groups exceeds the backlog
   std::vector<Order> next;
   Rig rig{12, s, [&](Instant, const std::vector<Event>&) { return std::exchange(next, {}); }};
   const auto order = [&](double w) {
@@ -203,7 +205,7 @@
   EXPECT_DOUBLE_EQ(rig.weight(1, 5), 3);
 }
 
-TEST(Coordinator, NoGroupGetsMoreMessagesThanTheCap) {
+TEST(Coordinator, LimitsMessagesPerGroup) {
   Settings s = test_settings();
   s.messages_most = 5;
   std::vector<Order> next;
@@ -215,15 +217,16 @@
     rig.now = rig.now + Span::seconds(0.2);
     messages +=
         static_cast<int>(rig.step({GroupLookup{ProxyId{0}}, RosterUpdate{rig.roster}}).messages.size());
-    rig.roster[0].weight += 0.001;  // an event, so that the module is asked
+    rig.roster[0].weight += 0.001;  // a roster change, so that the policy is called
   }
   EXPECT_EQ(messages, 5);
   rig.seconds(11);
-  EXPECT_DOUBLE_EQ(rig.weight(0, 0), 40) << "what was held back is sent merged";
+  EXPECT_DOUBLE_EQ(rig.weight(0, 0), 40) << "deferred updates are sent merged";
 }
 
-// Counted by arrival, some milliseconds off, no window holds more messages than the cap.
-TEST(Coordinator, TheCapHoldsForWhoeverCountsAMomentLater) {
+// A receiver that counts messages on arrival, some milliseconds off, must not see more than the limit in any
+// window.
+TEST(Coordinator, MessageLimitHoldsForCountsOnArrival) {
   Settings s = test_settings();
   s.messages_most = 5;
   std::vector<Order> next;
@@ -243,7 +246,7 @@
     EXPECT_GT((messages[k] - messages[k - 5]).seconds(), s.messages_window.seconds() + 0.05);
 }
 
-TEST(Coordinator, TwoWithTheSameInputsPublishTheSame) {
+TEST(Coordinator, IsDeterministic) {
   const auto play = [] {
     Rig rig{30};
     rig.seconds(3);
@@ -256,7 +259,7 @@
   EXPECT_EQ(play(), play());
 }
 
-TEST(Coordinator, GroupsLeaveWhenIdleAndAReloadKeepsTheLadders) {
+TEST(Coordinator, ReloadKeepsExclusionsAndIdleGroupsLeave) {
   Rig rig{12};
   rig.seconds(5);
   rig.workers[4].down = true;
@@ -267,13 +270,13 @@
   rig.step({SettingsReloaded{fresh}, GroupLookup{ProxyId{0}}});
   rig.seconds(0.6);
   EXPECT_EQ(rig.published->views.size(), 4U);
-  EXPECT_EQ(rig.weight(0, 4), 0) << "known to fail before, known to fail now";
+  EXPECT_EQ(rig.weight(0, 4), 0) << "still excluded after the reload";
   EXPECT_EQ(rig.core.group_map()->group_of(*Address::parse("127.3.0.1")), ProxyId{0});
   for (int k = 0; k < 70; ++k) rig.now = rig.now + Span::seconds(1), rig.step({});
   EXPECT_TRUE(rig.logged("group_left"));
 }
 
-TEST(Coordinator, ARosterEntryThatMovedIsAnotherProcess) {
+TEST(Coordinator, TreatsAChangedAddressAsAnotherProcess) {
   Rig rig{6};
   rig.seconds(3);
   rig.roster[2].at = *Endpoint::parse("127.0.9.9:9000");
@@ -285,11 +288,12 @@
   EXPECT_LE(rig.weight(0, 2), 0.5);
 }
 
-TEST(Coordinator, NamesThatComeAndGoAreForgotten) {
+TEST(Coordinator, DropsBackendsThatLeftTheRoster) {
   Rig rig{3};
   for (int n = 0; n < 20; ++n) {
     auto roster = rig.roster;
-    roster[2].name = "passing-" + std::to_string(n), roster[2].at.port = static_cast<std::uint16_t>(1000 + n);
+    roster[2].name = "passing-" + std::to_string(n),
+    roster[2].at.port = static_cast<std::uint16_t>(1000 + n);
     rig.now = rig.now + Span::seconds(100);
     rig.step({RosterUpdate{roster}});
   }
@@ -298,21 +302,21 @@
   EXPECT_LE(rig.published->directory->size(), 10U);
 }
 
-TEST(Coordinator, FixedWeightsAreWhatTheListSays) {
+TEST(Coordinator, FixedWeightsPublishListedWeights) {
   Rig rig{6, test_settings(), fixed_weights()};
   rig.seconds(2);
   rig.workers[1].down = true;
   rig.seconds(5);
-  EXPECT_EQ(rig.weight(0, 1), 1) << "nothing is decided";
+  EXPECT_EQ(rig.weight(0, 1), 1) << "no exclusion";
 }
 
-TEST(Lifetime, LeavesHalfOfTheGraceForHearingAndCutting) {
+TEST(AnswerLifetime, IsHalfOfTheDrainGraceWithinLimits) {
   Settings s = test_settings();
   EXPECT_EQ(answer_lifetime(s), Span::seconds(2));
   s.drain_grace = Span::seconds(1.5);
-  EXPECT_EQ(answer_lifetime(s), Span::seconds(0)) << "too short to be cached at all";
+  EXPECT_EQ(answer_lifetime(s), Span::seconds(0)) << "too short for caching";
   s.drain_grace = Span::seconds(600);
-  EXPECT_EQ(answer_lifetime(s), Span::seconds(5)) << "never above the settings";
+  EXPECT_EQ(answer_lifetime(s), Span::seconds(5)) << "at most lifetime_most";
 }
 
 }  // namespace
--- a/tests/coordinator/fixture.hpp
+++ b/tests/coordinator/fixture.hpp
@@ -1,4 +1,5 @@
-// A coordinator stepped by hand, with made-up workers that answer as a test bends them.
+// Test fixture: a coordinator driven with simulated time, and simulated workers whose behaviour a test can
+// change.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -47,7 +48,7 @@
     bool draining = false, down = false, refuses = false, hangs = false;
     std::uint64_t taken = 0, succeeded = 0, errored = 0;
     double latency = 0, error_part = 0;
-    double carry = 0, owed = 0;
+    double carry = 0, error_debt = 0;
   };
 
   explicit Rig(unsigned n, Settings settings = test_settings(), DecisionMaker decide = {})
@@ -65,12 +66,13 @@
     if (e.published) published = e.published;
     deliveries.insert(deliveries.end(), e.deliveries.begin(), e.deliveries.end());
     log_events.insert(log_events.end(), e.log_events.begin(), e.log_events.end());
-    for (const auto& m : e.messages) EXPECT_LE(m.waiting, s.backlog) << "rule 5";
+    for (const auto& m : e.messages) EXPECT_LE(m.waiting, s.backlog) << "channel backlog over its limit";
     wake = e.next_wakeup;
     return e;
   }
 
-  // Plays on: every tenth of a second work is done by the published weights, each half second all report.
+  // Simulates `length` seconds: work is distributed by the published weights every 0.1 s; all workers report
+  // every 0.5 s.
   void seconds(double length) {
     for (const Instant end = now + Span::seconds(length); now < end;) {
       now = now + Span::seconds(0.1);
@@ -133,7 +135,7 @@
   std::shared_ptr<const PublishedState> published;
   std::vector<LogEvent> log_events;
   std::vector<Delivery> deliveries;
-  double rate = 120;  // invocations a second in all
+  double rate = 120;  // invocations per second, all together
   unsigned tick = 0;
 
  private:
@@ -142,9 +144,9 @@
     while (m.carry >= 1) {
       m.carry -= 1, ++m.taken;
       if (m.hangs) continue;
-      m.owed += m.error_part;
-      if (m.owed >= 1) {
-        m.owed -= 1, ++m.errored;
+      m.error_debt += m.error_part;
+      if (m.error_debt >= 1) {
+        m.error_debt -= 1, ++m.errored;
       } else {
         ++m.succeeded, m.latency += 0.2;
       }
--- a/tests/coordinator/report_aggregator_test.cpp
+++ b/tests/coordinator/report_aggregator_test.cpp
@@ -1,4 +1,5 @@
-// What is late, contradicting or out of range, and what still counts then; sources; draws; admission.
+// Tests of the report aggregator with late, contradicting or out-of-range reports, and of client groups,
+// answer sampling and admission.
 #include "coordinator/report_aggregator.hpp"
 
 #include <cmath>
@@ -10,10 +11,10 @@
 namespace gorsemount::coordinator {
 namespace {
 
-struct Heard {
+struct AggregatorFixture {
   Settings s = test_settings();
   GroupMap groups{s};
-  ReportAggregator evidence{s, [this](const Address& a) { return groups.group_of(a); }};
+  ReportAggregator aggregator{s, [this](const Address& a) { return groups.group_of(a); }};
   Instant now = Instant::at_seconds(10);
   LoadSample sample{"boot", 100, false,
                     0.5,    1.0, {{OperationId{0}, *Prefix::parse("127.1.0.0/24"), 10, 10, 0, 0, 2}}};
@@ -22,17 +23,17 @@
     now = now + Span::seconds(0.5), sample.uptime += 0.5;
     sample.counts[0].taken += more, sample.counts[0].succeeded += more,
         sample.counts[0].latency += 0.2 * static_cast<double>(more);
-    return evidence.load(now, BackendId{1}, now - late, sample);
+    return aggregator.add_load(now, BackendId{1}, now - late, sample);
   }
   std::optional<BackendReport> report() {
-    for (const auto& e : evidence.round(now))
+    for (const auto& e : aggregator.take_reports(now))
       if (const auto* r = std::get_if<BackendReport>(&e)) return *r;
     return {};
   }
 };
 
-TEST(ReportAggregator, WhatWasCountedBeforeTheFirstReplyIsNoNews) {
-  Heard h;
+TEST(ReportAggregator, IgnoresCountsBeforeTheFirstReply) {
+  AggregatorFixture h;
   EXPECT_EQ(h.next(0), SampleFault::none);
   EXPECT_FALSE(h.report());
   h.next(4);
@@ -44,8 +45,8 @@
   EXPECT_EQ(r->busy, 0.5);
 }
 
-TEST(ReportAggregator, DoubtedLoadsAreNotToldButTrueCountsAre) {
-  Heard h;
+TEST(ReportAggregator, DropsFaultyLoadButKeepsValidCounts) {
+  AggregatorFixture h;
   h.next(0), h.report();
   EXPECT_EQ(h.next(5, Span::seconds(0.8)), SampleFault::late);
   auto r = h.report();
@@ -62,8 +63,8 @@
   }
 }
 
-TEST(ReportAggregator, CountersThatCantBeAreRefusedWhole) {
-  Heard h;
+TEST(ReportAggregator, RejectsImpossibleCounters) {
+  AggregatorFixture h;
   h.next(0), h.report();
   auto good = h.sample;
   h.sample.counts[0].succeeded = h.sample.counts[0].taken + 1;
@@ -76,12 +77,12 @@
   EXPECT_FALSE(h.report());
   h.sample = good, h.sample.boot = "another", h.sample.uptime = 1;
   h.sample.counts[0] = {OperationId{0}, *Prefix::parse("127.1.0.0/24"), 1, 1, 0, 0, 0.1};
-  EXPECT_EQ(h.next(0), SampleFault::none) << "a restart may count from nothing";
-  EXPECT_NEAR((h.now - *h.evidence.started(BackendId{1})).seconds(), 1.5, 1e-6);
+  EXPECT_EQ(h.next(0), SampleFault::none) << "counters restart at 0 with the process";
+  EXPECT_NEAR((h.now - *h.aggregator.started_at(BackendId{1})).seconds(), 1.5, 1e-6);
 }
 
-TEST(ReportAggregator, RefusalsCountAsErrorsUnlessItDrains) {
-  Heard h;
+TEST(ReportAggregator, CountsRefusalsAsErrorsUnlessDraining) {
+  AggregatorFixture h;
   h.next(0), h.report();
   h.sample.counts[0].refused += 4;
   h.next(0);
@@ -89,10 +90,10 @@
   h.sample.draining = true, h.sample.counts[0].refused += 4;
   h.next(0);
   EXPECT_FALSE(h.report());
-  EXPECT_TRUE(h.evidence.draining(BackendId{1}));
+  EXPECT_TRUE(h.aggregator.draining(BackendId{1}));
 }
 
-TEST(Groups, TheLongestPrefixWinsAndOnlyTrustedResolversAreBelieved) {
+TEST(Groups, LongestPrefixMatchAndTrustedResolvers) {
   Settings s = test_settings();
   s.groups[0].sources.push_back(*Prefix::parse("127.2.7.0/24"));
   const GroupMap map{s};
@@ -101,7 +102,7 @@
   EXPECT_EQ(of("127.2.8.9"), 1);
   EXPECT_EQ(of("2001:db8::1"), 1);
   EXPECT_EQ(of("10.0.0.1"), 2);
-  EXPECT_EQ(of("::ffff:127.1.0.1"), 0) << "mapped";
+  EXPECT_EQ(of("::ffff:127.1.0.1"), 0) << "IPv4-mapped";
   EXPECT_TRUE(map.trusts(*Address::parse("127.9.0.53")));
   EXPECT_FALSE(map.trusts(*Address::parse("127.9.1.53")));
 }
@@ -113,8 +114,9 @@
   return lines;
 }
 
-// What a client picks on average must be what the weights say, however few lines an answer holds.
-TEST(Draw, PartsOfTheTrafficStayWhatTheWeightsSay) {
+// The expected share of each line in a client's picks must equal its weight's share, however few lines an
+// answer has.
+TEST(AnswerSampling, KeepsTrafficProportionalToWeights) {
   const std::vector<double> weights{1, 1, 0.01, 5, 2, 1, 1, 0.25, 3, 1, 1, 1, 20, 0.5};
   const auto lines = lines_of(weights);
   double sum = 0;
@@ -141,12 +143,12 @@
   }
 }
 
-TEST(Draw, NothingIsDrawnFromNothing) {
+TEST(AnswerSampling, EmptyInputGivesEmptySample) {
   EXPECT_TRUE(sample_weighted({}, 4, 0.5).empty());
   EXPECT_TRUE(sample_uniform({}, 4, 0.5).empty());
 }
 
-TEST(Admission, LetsInTheShareEvenly) {
+TEST(Admission, AdmitsTheShareEvenly) {
   Admission a;
   int in = 0, run = 0, longest = 0;
   for (int n = 0; n < 1000; ++n) {
--- a/tests/coordinator/state_transfer_test.cpp
+++ b/tests/coordinator/state_transfer_test.cpp
@@ -1,4 +1,5 @@
-// What a coordinator passes on to another or to its next life, and what it takes from it.
+// Tests of the facts that a coordinator exports to other controllers and for its restart, and of their
+// import.
 #include "coordinator/fixture.hpp"
 
 namespace gorsemount::coordinator {
@@ -8,21 +9,21 @@
 using recovery::Fact;
 using recovery::Kind;
 
-std::vector<Entry> entries_of(const recovery::Facts& facts, Instant learned) {
+std::vector<Entry> entries_from(const recovery::Facts& facts, Instant learned) {
   std::vector<Entry> entries;
   for (const auto& [subject, fact] : facts)
     entries.push_back({subject, fact, learned, entries.size() + 1, false});
   return entries;
 }
-// The facts as another controller hears them: on its own clock.
-std::vector<Entry> moved(const recovery::Facts& facts, Instant from, Instant to) {
-  auto entries = entries_of(facts, to);
+// The facts as another controller receives them, with times on its own clock.
+std::vector<Entry> on_other_clock(const recovery::Facts& facts, Instant from, Instant to) {
+  auto entries = entries_from(facts, to);
   for (auto& e : entries)
     for (auto& [name, time] : e.fact.times) time = to + (time - from);
   return entries;
 }
 
-TEST(Remember, ABackendThatWasOutStaysOutForTheNextWhoLeads) {
+TEST(StateTransfer, ExcludedBackendStaysExcludedForTheNextLeader) {
   Rig one{9};
   one.seconds(5);
   one.workers[2].error_part = 1;
@@ -31,14 +32,14 @@
   const auto facts = one.core.facts();
   ASSERT_TRUE(facts.contains({Kind::backend_ladder, "w2"}));
   Rig blank{9}, two{9};
-  blank.seconds(9), two.seconds(9);  // the same clock as the first one's
+  blank.seconds(9), two.seconds(9);  // the same clock as the first one
   EXPECT_EQ(blank.weight(0, 2), 1);
-  two.step({FactsReceived{moved(facts, one.now, two.now)}});
+  two.step({FactsReceived{on_other_clock(facts, one.now, two.now)}});
   two.seconds(1);
-  EXPECT_LT(two.weight(0, 2), 0.6) << "out, or tried; never whole";
+  EXPECT_LT(two.weight(0, 2), 0.6) << "excluded or on trial, never at full weight";
 }
 
-TEST(Remember, AZoneThatWasDrainedIsNotWholeAgain) {
+TEST(StateTransfer, DrainedZoneIsNotRestoredToFullWeight) {
   Rig rig{9};
   rig.seconds(3);
   Fact ladder{"",
@@ -49,11 +50,11 @@
   EXPECT_EQ(rig.weight(0, 1), 0);
   EXPECT_TRUE(rig.core.zone_shift_in_progress());
   rig.seconds(12);
-  EXPECT_GT(rig.weight(0, 1), 0) << "its trial";
+  EXPECT_GT(rig.weight(0, 1), 0) << "trial share";
   EXPECT_LT(rig.weight(0, 1), 0.3);
 }
 
-TEST(Remember, NothingIsBelievedOfANameThatCameBackAsAnotherMachine) {
+TEST(StateTransfer, IgnoresFactsOfAnotherProcessWithTheSameName) {
   const auto fresh = [](const std::string& place, double started) {
     Rig rig{9};
     Fact f{place, {{"share", 0}}, {{"next", rig.now + Span::seconds(9)}, {"changed", rig.now}}};
@@ -62,13 +63,13 @@
     rig.seconds(2);
     return rig.weight(0, 1);
   };
-  EXPECT_EQ(fresh("127.0.1.2:9000", 0), 0) << "the same place";
-  EXPECT_EQ(fresh("127.0.1.2:9000", -1e6), 0) << "and start";
-  EXPECT_EQ(fresh("127.0.1.2:9001", 0), 1) << "another place";
-  EXPECT_EQ(fresh("127.0.1.2:9000", 700), 1) << "another start";
+  EXPECT_EQ(fresh("127.0.1.2:9000", 0), 0) << "same address";
+  EXPECT_EQ(fresh("127.0.1.2:9000", -1e6), 0) << "same start time too";
+  EXPECT_EQ(fresh("127.0.1.2:9001", 0), 1) << "another address";
+  EXPECT_EQ(fresh("127.0.1.2:9000", 700), 1) << "another start time";
 }
 
-TEST(Remember, ADrainStandsTillTheWorkerItselfSaysOtherwise) {
+TEST(StateTransfer, DrainStandsUntilTheWorkerReportsOtherwise) {
   Rig rig{9};
   rig.seconds(3);
   rig.workers[4].draining = true;
@@ -76,14 +77,14 @@
   ASSERT_EQ(rig.weight(0, 4), 0);
   const auto facts = rig.core.facts();
   ASSERT_TRUE(facts.contains({Kind::drain, "w4"}));
-  // The next life: the list says ready, and the worker is not heard yet.
+  // After a restart: the roster lists the worker as ready, and it has not reported yet.
   Coordinator next{rig.s, policy_decision_maker(rig.s)};
-  auto e = next.step(rig.now, {FactsReceived{entries_of(facts, rig.now)}, RosterUpdate{rig.roster}});
+  auto e = next.step(rig.now, {FactsReceived{entries_from(facts, rig.now)}, RosterUpdate{rig.roster}});
   e = next.step(rig.now + Span::seconds(1.3), {GroupLookup{ProxyId{0}}});
   ASSERT_TRUE(e.published);
   const auto id = *next.backend_id("w4");
   EXPECT_FALSE(e.published->directory->at(id).accepts_new_work);
-  // The worker says that it takes work.
+  // The worker reports that it accepts work.
   rig.workers[4].draining = false;
   e = next.step(rig.now + Span::seconds(2), {LoadReport{id, rig.now + Span::seconds(2), [&] {
                                                           auto s = rig.sample(4);
@@ -94,18 +95,18 @@
   EXPECT_TRUE(e.published->directory->at(id).accepts_new_work);
 }
 
-TEST(Remember, OfTwoControllersOrdersTheLaterHolds) {
+TEST(StateTransfer, LaterOrderOfTwoControllersApplies) {
   Rig one{9}, two{9};
   one.seconds(2), two.seconds(3);
   one.step({OperatorCommand{OperatorCommand::Action::disable, "w1", 0, {}}});
-  two.step({FactsReceived{moved(one.core.facts(), one.now, two.now)}});
+  two.step({FactsReceived{on_other_clock(one.core.facts(), one.now, two.now)}});
   two.seconds(1);
   EXPECT_EQ(two.weight(0, 1), 0);
   two.step({OperatorCommand{OperatorCommand::Action::enable, "w1", 0, {}}});
-  const auto back = moved(two.core.facts(), two.now, one.now + Span::seconds(4));
+  const auto back = on_other_clock(two.core.facts(), two.now, one.now + Span::seconds(4));
   one.seconds(4);
-  // The older word comes round again, and changes nothing.
-  two.step({FactsReceived{moved(one.core.facts(), one.now, two.now - Span::seconds(3))}});
+  // The older order arrives again and must change nothing.
+  two.step({FactsReceived{on_other_clock(one.core.facts(), one.now, two.now - Span::seconds(3))}});
   two.seconds(1);
   EXPECT_EQ(two.weight(0, 1), 1);
   one.step({FactsReceived{back}});
@@ -120,7 +121,7 @@
 }
 FurtherTries tries_of(const Delivery& d) { return d.table->operations[0].level.tries; }
 
-TEST(Takeover, FurtherTriesShrinkAndComeBackOnceTheTableIsWhole) {
+TEST(Takeover, DisablesRetriesUntilTheTableIsConfirmed) {
   const ProxyId f{kFirstForwarderId};
   for (const bool half : {false, true}) {
     Rig rig{9, with_forwarder()};
@@ -133,7 +134,7 @@
     ASSERT_FALSE(rig.deliveries.empty());
     EXPECT_EQ(tries_of(rig.deliveries.back()), FurtherTries::none);
     rig.seconds(3);
-    EXPECT_EQ(tries_of(rig.deliveries.back()), FurtherTries::none) << "it has not said that it holds it";
+    EXPECT_EQ(tries_of(rig.deliveries.back()), FurtherTries::none) << "not confirmed by the forwarder yet";
     rig.step({ForwarderAppliedTable{f, rig.deliveries.back().table->version}});
     rig.seconds(1);
     EXPECT_EQ(tries_of(rig.deliveries.back()), half ? FurtherTries::none : FurtherTries::after_proof);
@@ -143,11 +144,11 @@
   Rig own{9, with_forwarder()};
   own.step({ForwarderJoined{f, false}});
   own.seconds(1);
-  EXPECT_EQ(tries_of(own.deliveries.back()), FurtherTries::after_proof) << "nobody led it before";
+  EXPECT_EQ(tries_of(own.deliveries.back()), FurtherTries::after_proof) << "no former controller";
 }
 
-// A restarted coordinator reaches its forwarders before it has heard a single worker.
-TEST(Forwarders, ThatJoinBeforeTheFirstListIsToldGetATable) {
+// A restarted coordinator connects to its forwarders before any worker has reported.
+TEST(Forwarders, JoinedBeforeTheFirstRosterGetATable) {
   Rig plain{3};
   Coordinator core{with_forwarder(), policy_decision_maker(with_forwarder())};
   Instant now = Instant::at_seconds(1000);
@@ -158,27 +159,27 @@
   EXPECT_GT(delivered, 0U);
 }
 
-TEST(Groups, LedElsewhereFollowTheLeaderLessWhatTheRulesForce) {
+TEST(Groups, LedElsewhereUseTheLeadersTableWithoutUnusableBackends) {
   Rig rig{9};
   rig.seconds(3);
   rig.step({GroupLeadership{ProxyId{0}, false}});
-  EXPECT_EQ(rig.weight(0, 3), 1) << "what it has stays";
+  EXPECT_EQ(rig.weight(0, 3), 1) << "the current table stays in force";
   rig.step({LeaderTable{ProxyId{0}, true, {{"w3", 0.25}, {"w4", 1}, {"w5", 1}}, {{0, 1}, {1, 1}}}});
   EXPECT_EQ(rig.weight(0, 3), 0.25);
   EXPECT_EQ(rig.weight(0, 1), 0);
-  EXPECT_EQ(rig.weight(1, 1), 1) << "the other group is led here";
+  EXPECT_EQ(rig.weight(1, 1), 1) << "the other group is led by this controller";
   rig.step({LeaderTable{ProxyId{0}, false, {}, {}}});
   rig.workers[4].draining = true;
   rig.seconds(1.5);
-  EXPECT_EQ(rig.weight(0, 4), 0) << "rule 3, whoever leads";
-  EXPECT_EQ(rig.weight(0, 3), 0.25) << "nothing is raised";
+  EXPECT_EQ(rig.weight(0, 4), 0) << "a drain applies whichever controller leads";
+  EXPECT_EQ(rig.weight(0, 3), 0.25) << "no weight is raised";
   rig.step({GroupLeadership{ProxyId{0}, true}});
   rig.seconds(3);
   EXPECT_EQ(rig.weight(0, 1), 1);
 }
 
-// A part of the retry budget that was recalled and sent is corrected once reports say otherwise.
-TEST(Remember, ARecalledRetryBudgetIsCorrected) {
+// A restored share of the retry budget, already sent, must be corrected once reports differ from it.
+TEST(StateTransfer, CorrectsARestoredRetryBudget) {
   Settings s = test_settings();
   s.retry_share = 0.2, s.forwarders = {{"f1", ZoneId{0}, {}, 10}};
   Rig rig{6, s};
@@ -186,17 +187,17 @@
   rig.step({FactsReceived{
       {{{recovery::Kind::further_tries, "f1"}, {"", {{"part", 0.6}}, {}}, rig.now, 1, false}}, true}});
   std::vector<double> sent;
-  const auto heed = [&](const Effects& e) {
+  const auto record = [&](const Effects& e) {
     for (const auto& d : e.deliveries)
       if (sent.empty() || sent.back() != d.table->retry_ratio) sent.push_back(d.table->retry_ratio);
   };
-  heed(rig.step({ForwarderJoined{f1}}));
+  record(rig.step({ForwarderJoined{f1}}));
   for (int k = 0; k < 60; ++k) {
     rig.now = rig.now + Span::seconds(0.1);
-    heed(rig.step({ForwarderReport{
+    record(rig.step({ForwarderReport{
         f1, {{BackendId{1}, OperationId{0}, 20, 0, Span::seconds(0.1)}}, {{OperationId{0}, 20}}, 0}}));
   }
-  ASSERT_EQ(sent.size(), 2U) << "what was recalled, then what is so";
+  ASSERT_EQ(sent.size(), 2U) << "the restored share, then the corrected one";
   EXPECT_NEAR(sent.front(), 0.6, 1e-9);
   EXPECT_NEAR(sent.back(), 0.2, 1e-9);
 }
--- a/tests/lab/zone_drain_test.cpp
+++ b/tests/lab/zone_drain_test.cpp
@@ -1,6 +1,6 @@
-// What a person took out is no capacity: found when a zone was lost while another was drained by a person,
-// and the levels let in all that came, since the drained zone's idle processors seemed to have room (service
-// 0.11 in the worst 10 s, and nothing rate-limited).
+// Regression test: processors of a zone drained by an operator are no spare capacity. When another zone was
+// lost during such a drain, the drained zone's idle processors counted as room, so the admission levels let in
+// all traffic and nothing was rate-limited (service 0.11 in the worst 10 s).
 #include <gtest/gtest.h>
 
 #include "lab/replay/compare.hpp"
@@ -8,7 +8,7 @@
 namespace gorsemount::lab {
 namespace {
 
-TEST(Person, LevelsDoNotCountADrainedZonesIdleProcessors) {
+TEST(ZoneDrain, AdmissionLevelsIgnoreIdleProcessorsOfADrainedZone) {
   script::Day day;
   day.length = Span::seconds(40), day.settle = Span::seconds(3);
   day.zones = {"kariakoo", "ubungo"};
@@ -19,7 +19,7 @@
     day.workers.emplace_back().zone = zone, day.workers.back().count = 10;
     day.clients.emplace_back().zone = zone, day.clients.back().count = 2, day.clients.back().rate = 1;
     auto& f = day.forwarders.emplace_back();
-    f.zone = zone, f.count = 5, f.clients = 10, f.rate = 11;  // 220 a second, where a zone alone carries 167
+    f.zone = zone, f.count = 5, f.clients = 10, f.rate = 11;  // 220 per second in total; one zone alone handles 167
   }
   day.coordinators = {"kariakoo"};
   day.phases = {{"day", {}, 1}};
