--- a/src/coordinator/coordinator.hpp
+++ b/src/coordinator/coordinator.hpp
@@ -1,8 +1,8 @@
 // The coordinator's core: turns inputs into policy events and the policy's orders into published tables. It
 // does no I/O and reads no clock; the event loop, the simulator and the tests all drive it through step().
 //
-// Order within step(now, inputs): absorb inputs, update the policy's backend list, idle groups, timers,
-// report round, policy, orders, channel, publish. `now` never decreases.
+// Order within step(now, inputs): inputs, idle groups, the policy's backend list, timers, report round,
+// policy, orders, channel, publish. `now` never decreases.
 //
 // It enforces the safety rules independently of the policy's decisions: see publish() and channel.hpp.
 #pragma once
@@ -23,7 +23,7 @@
 
 namespace gorsemount::coordinator {
 
-// Makes the decisions: the policy, or a baseline, which keeps no state to export.
+// Makes the decisions: the policy, or a baseline, which has no state to export.
 struct DecisionMaker {
   using Handle = std::function<std::vector<Order>(Instant, const std::vector<Event>&)>;
   DecisionMaker() = default;
@@ -42,8 +42,8 @@
 [[nodiscard]] DecisionMaker policy_decision_maker(const Settings& settings);
 
 // Time to live of answers, in whole seconds, such that a removed backend is out of all caches within the
-// drain grace period. It is half of the grace period less use_after; the other half is for the coordinator to
-// learn of the drain and remove the backend.
+// drain grace period. It is half of drain_grace - use_after; the other half is for the coordinator to learn
+// of the drain and remove the backend.
 [[nodiscard]] Span answer_lifetime(const Settings& settings);
 
 struct Counters {
--- a/src/coordinator/types.hpp
+++ b/src/coordinator/types.hpp
@@ -34,7 +34,7 @@
 struct Forwarder {
   std::string name;
   ZoneId zone;
-  // addresses it calls workers from; workers' counts of these are ignored, since it reports itself
+  // addresses it calls workers from; workers' counts for these are ignored, since it reports them itself
   std::vector<Prefix> sources;
   double usual_rate = 1;
 };
--- a/tests/coordinator/coordinator_test.cpp
+++ b/tests/coordinator/coordinator_test.cpp
@@ -292,8 +292,7 @@
   Rig rig{3};
   for (int n = 0; n < 20; ++n) {
     auto roster = rig.roster;
-    roster[2].name = "passing-" + std::to_string(n),
-    roster[2].at.port = static_cast<std::uint16_t>(1000 + n);
+    roster[2].name = "passing-" + std::to_string(n), roster[2].at.port = static_cast<std::uint16_t>(1000 + n);
     rig.now = rig.now + Span::seconds(100);
     rig.step({RosterUpdate{roster}});
   }
--- a/tests/lab/zone_drain_test.cpp
+++ b/tests/lab/zone_drain_test.cpp
@@ -1,6 +1,6 @@
 // Regression test: processors of a zone drained by an operator are no spare capacity. When another zone was
-// lost during such a drain, the drained zone's idle processors counted as room, so the admission levels let in
-// all traffic and nothing was rate-limited (service 0.11 in the worst 10 s).
+// lost during such a drain, the drained zone's idle processors counted as room, so the admission levels let
+// in all traffic and nothing was rate-limited (service 0.11 in the worst 10 s).
 #include <gtest/gtest.h>
 
 #include "lab/replay/compare.hpp"
@@ -19,7 +19,8 @@
     day.workers.emplace_back().zone = zone, day.workers.back().count = 10;
     day.clients.emplace_back().zone = zone, day.clients.back().count = 2, day.clients.back().rate = 1;
     auto& f = day.forwarders.emplace_back();
-    f.zone = zone, f.count = 5, f.clients = 10, f.rate = 11;  // 220 per second in total; one zone alone handles 167
+    f.zone = zone, f.count = 5, f.clients = 10,
+    f.rate = 11;  // 220 per second in total; one zone alone handles 167
   }
   day.coordinators = {"kariakoo"};
   day.phases = {{"day", {}, 1}};
