--- a/src/coordinator/coordinator.cpp
+++ b/src/coordinator/coordinator.cpp
@@ -42,16 +42,16 @@
   gorsemount::Settings m;
   for (const auto& op : s.operations)
     m.operations.push_back({op.effect, op.latency_objective, op.billed_value});
-  m.level_kind = s.levels ? LevelKind::share : LevelKind::off;
+  m.admission_mode = s.levels ? AdmissionMode::share : AdmissionMode::off;
   m.report_every = s.report_every;
-  m.intake = 1e9;  // no limit: reports are aggregated by round and never queue here
+  m.max_report_rate = 1e9;  // no limit: reports are aggregated by round and never queue here
   m.backlog = s.backlog, m.push_rate = s.lines_per_second, m.per_message = s.per_message;
   m.messages_most = s.messages_most, m.messages_window = s.messages_window;
   // Each group may use any coordinator, so each coordinator serves all of them.
   m.proxies = static_cast<double>(s.groups.size() + s.forwarders.size()) * s.coordinators,
   m.coordinators = s.coordinators;
   m.keepalive = s.keepalive;
-  m.ask_within = s.unserved;
+  m.subscribe_timeout = s.unserved;
   m.drain_grace = s.drain_grace, m.removal_binds = s.removal_binds;
   m.cold_from = s.cold_from, m.cold_for = s.cold_for, m.tip_multiple = s.tip_multiple;
   return m;
@@ -61,8 +61,8 @@
   auto policy = std::make_shared<Policy>(policy_settings(settings), settings.seed);
   DecisionMaker decide{
       [policy](Instant now, const std::vector<Event>& events) { return policy->handle(now, events); }};
-  decide.export_state = [policy](Instant now) { return policy->remember(now); };
-  decide.import_state = [policy](Instant now, const Memory& memory) { policy->recall(now, memory); };
+  decide.export_state = [policy](Instant now) { return policy->snapshot(now); };
+  decide.import_state = [policy](Instant now, const PolicySnapshot& memory) { policy->restore(now, memory); };
   return decide;
 }
 
@@ -74,8 +74,8 @@
 namespace {
 
 // There is no setting for an operation's cost; the latency objective stands in for it, as in the policy.
-std::vector<limits::Priced> priced(const Settings& s) {
-  std::vector<limits::Priced> operations;
+std::vector<limits::PricedOperation> priced(const Settings& s) {
+  std::vector<limits::PricedOperation> operations;
   for (std::size_t k = 0; k < s.operations.size(); ++k)
     operations.push_back(
         {operation_at(k), s.operations[k].billed_value, s.operations[k].latency_objective.seconds()});
@@ -223,8 +223,8 @@
 
 void Coordinator::absorb(const ForwarderJoined& input) {
   for (auto& event : proxy_presence_.on_forwarder_joined(now_, input.forwarder)) {
-    channel_.join(input.forwarder), fleet_limit_.joined(input.forwarder),
-        retry_budget_.joined(input.forwarder), applied_versions_[input.forwarder] = 0;
+    channel_.join(input.forwarder), fleet_limit_.add_forwarder(input.forwarder),
+        retry_budget_.add_forwarder(input.forwarder), applied_versions_[input.forwarder] = 0;
     if (restored_own_state_ && !input.current_weights.empty())
       found_lines_[input.forwarder] = {input.current_weights,
                                        now_ + settings_.report_every * kFoundLinesRounds};
@@ -239,7 +239,8 @@
 
 void Coordinator::absorb(const ForwarderLeft& input) {
   for (auto& event : proxy_presence_.on_left(input.forwarder)) {
-    channel_.leave(input.forwarder), fleet_limit_.left(input.forwarder), retry_budget_.left(input.forwarder);
+    channel_.leave(input.forwarder), fleet_limit_.remove_forwarder(input.forwarder),
+        retry_budget_.remove_forwarder(input.forwarder);
     bound_tables_.erase(input.forwarder), applied_versions_.erase(input.forwarder),
         delivered_versions_.erase(input.forwarder), takeovers_.erase(input.forwarder);
     found_lines_.erase(input.forwarder);
@@ -258,9 +259,9 @@
   }
   int tries = 0;
   for (const auto& record : input.rows) tries += record.tries;
-  retry_budget_.met(now_, input.forwarder, tries - input.further, input.further);
+  retry_budget_.record_tries(now_, input.forwarder, tries - input.further, input.further);
   for (const auto& [operation, n] : input.arrived)
-    fleet_limit_.arrived(input.forwarder, operation, n, settings_.report_every);
+    fleet_limit_.record_arrivals(input.forwarder, operation, n, settings_.report_every);
 }
 
 void Coordinator::absorb(const ForwarderAppliedTable& input) {
@@ -302,7 +303,7 @@
   if (zone && input.action == Action::drain_zone && !input.force && spill_) {
     const auto z = static_cast<std::size_t>(
         std::find(settings_.zones.begin(), settings_.zones.end(), input.name) - settings_.zones.begin());
-    if (!spill_->room_without(z))
+    if (!spill_->has_capacity_without(z))
       return fmt::format(
           "refused: the other zones have not shown spare capacity for the current traffic; 'drain zone {} "
           "anyway' drains it nevertheless",
@@ -383,13 +384,13 @@
 
 // Passes changes of the backend list since the last call to the policy.
 void Coordinator::announce_roster() {
-  Listed listed{roster_announced_ ? ListScope::changes : ListScope::whole, {}};
+  BackendListUpdate listed{roster_announced_ ? ListScope::delta : ListScope::full, {}};
   changed_backends_.insert(unannounced_.begin(), unannounced_.end());
   if (next_override_change_ && now_ >= *next_override_change_) {
     for (const auto& [id, record] : backends_) changed_backends_.insert(id);
     next_override_change_ = operator_overrides_.next_change(now_);
   }
-  Memory memory;
+  PolicySnapshot memory;
   for (const auto id : std::exchange(changed_backends_, {})) {
     BackendRecord& record = backends_.at(id);
     const bool returned = record.announced &&
@@ -406,7 +407,7 @@
     unannounced_.erase(id);
     restore_backend(id, record, memory);
     const auto remembered = remembered_.find(record.entry.name);
-    Listed::Entry entry{id, record.entry.zone, record.entry.availability, record.entry.weight, {}};
+    BackendListUpdate::Entry entry{id, record.entry.zone, record.entry.availability, record.entry.weight, {}};
     if (!record.listed || (refusals_trusted_ && refusing_.contains(id))) {
       entry.availability = Availability::gone;
     } else if (entry.availability == Availability::ready &&
@@ -462,7 +463,7 @@
   std::set<TableId> changed;
   counters_.orders += orders.size();
   for (const auto& order : orders) {
-    if (const auto* line = std::get_if<SetLine>(&order)) {
+    if (const auto* line = std::get_if<SetWeight>(&order)) {
       auto& lines = ordered_tables_[line->table].lines;
       if (line->weight > 0) {
         lines[line->backend] = line->weight;
@@ -470,10 +471,10 @@
         lines.erase(line->backend);
       }
       changed.insert(line->table);
-    } else if (const auto* level = std::get_if<SetLevel>(&order)) {
+    } else if (const auto* level = std::get_if<SetAdmission>(&order)) {
       auto& levels = ordered_tables_[level->table].levels;
       levels.resize(settings_.operations.size());
-      levels.at(level->operation.value) = {level->tries, level->level};
+      levels.at(level->operation.value) = {level->retries, level->limit};
       changed.insert(level->table);
     } else if (const auto* bind = std::get_if<BindProxy>(&order)) {
       if (!proxy_presence_.present().contains(bind->proxy)) continue;
@@ -483,9 +484,9 @@
         current_tables_[bind->table] = std::make_shared<const Table>(ordered_tables_[bind->table]);
         changed.insert(bind->table);
       }
-    } else if (const auto* wake = std::get_if<WakeMe>(&order)) {
+    } else if (const auto* wake = std::get_if<SetTimer>(&order)) {
       timers_.emplace(now_ + wake->after, wake->tag);
-    }  // FollowList needs no action: the roster is always watched
+    }  // SubscribeToList needs no action: the roster is always watched
   }
   unapplied_tables_.insert(changed.begin(), changed.end());
   if (decisions_held_) return;
@@ -551,17 +552,17 @@
           {id, record->second.entry.name, record->second.entry.at, weight, !warm(record->second)});
     }
     if (k < table.levels.size()) part.level = table.levels[k];
-    part.level.tries = limits::allowed(settings_.operations[k].effect, part.level.tries);
+    part.level.tries = limits::allowed_retries(settings_.operations[k].effect, part.level.tries);
     // While control of a forwarder changes hands, tries of the former controller may still be running, so no
     // retries.
-    if (takeovers_.contains(forwarder)) part.level.tries = FurtherTries::none;
+    if (takeovers_.contains(forwarder)) part.level.tries = RetryPolicy::none;
     if (const auto it = limit_shares_.find({forwarder, operation_at(k)}); it != limit_shares_.end())
       part.rate_limit = it->second;
     desired->operations.push_back(std::move(part));
   }
   if (settings_.retry_share > 0) {
-    const auto part = retry_budget_.parts().find(forwarder);
-    desired->retry_ratio = part == retry_budget_.parts().end() ? settings_.retry_share : part->second;
+    const auto part = retry_budget_.allocations().find(forwarder);
+    desired->retry_ratio = part == retry_budget_.allocations().end() ? settings_.retry_share : part->second;
   }
   for (const auto& [id, record] : backends_)
     if (record.listed) desired->known_backends.push_back(record.entry.name);
@@ -571,7 +572,7 @@
 // Distributes the fleet's admission limit anew after each round; forwarders with a changed share get a
 // delivery.
 void Coordinator::distribute_limits() {
-  auto fresh = fleet_limit_.parts();
+  auto fresh = fleet_limit_.allocations();
   std::set<ProxyId> changed_proxies;
   const auto differs = [](double a, double b) {
     return std::abs(a - b) > 0.1 * std::max(a, b);
@@ -596,8 +597,8 @@
 void Coordinator::distribute_retry_budget() {
   // Each delivery carries the share at that time, so the shares before this distribution, restored ones
   // included, are those that were sent.
-  const auto before = retry_budget_.parts();
-  for (const auto& [proxy, part] : retry_budget_.deal(now_)) {
+  const auto before = retry_budget_.allocations();
+  for (const auto& [proxy, part] : retry_budget_.allocate(now_)) {
     const auto previous = before.find(proxy);
     if (part == (previous == before.end() ? settings_.retry_share : previous->second)) continue;
     const auto in_force = channel_.in_force().find(proxy);
@@ -768,10 +769,10 @@
     // Idle processors of a draining backend, or of one with a weight lowered by an operator, are no spare
     // capacity.
     for (auto& event : reports)
-      if (auto* r = std::get_if<BackendReport>(&event); r != nullptr && r->busy)
+      if (auto* r = std::get_if<BackendReport>(&event); r != nullptr && r->utilization)
         if (const auto record = backends_.find(r->backend);
             record != backends_.end() && record->second.announced && weight_lowered(record->second))
-          r->busy.reset();
+          r->utilization.reset();
     for (auto& event : reports)
       if (const auto* d = std::get_if<DemandReport>(&event);
           d == nullptr || proxy_presence_.present().contains(d->proxy))
--- a/src/coordinator/coordinator.hpp
+++ b/src/coordinator/coordinator.hpp
@@ -17,9 +17,9 @@
 #include "coordinator/operator_overrides.hpp"
 #include "coordinator/report_aggregator.hpp"
 #include "coordinator/types.hpp"
-#include "limits/fleet_limit.hpp"
+#include "limits/fleet_rate_limit.hpp"
 #include "limits/retry_budget.hpp"
-#include "spill/spill.hpp"
+#include "spillover/spillover_planner.hpp"
 
 namespace gorsemount::coordinator {
 
@@ -33,8 +33,8 @@
   explicit operator bool() const { return static_cast<bool>(handle); }
 
   Handle handle;
-  std::function<Memory(Instant)> export_state;
-  std::function<void(Instant, const Memory&)> import_state;
+  std::function<PolicySnapshot(Instant)> export_state;
+  std::function<void(Instant, const PolicySnapshot&)> import_state;
 };
 
 // The policy's settings, derived from the coordinator's.
@@ -102,9 +102,9 @@
   struct BackendRecord {
     RosterEntry entry;
     Instant first_seen;
-    bool listed = true;                      // in the newest roster
-    std::optional<Listed::Entry> announced;  // as last passed to the policy
-    Instant invalidated_at;                  // when it last began draining, was gone or restarted
+    bool listed = true;                                 // in the newest roster
+    std::optional<BackendListUpdate::Entry> announced;  // as last passed to the policy
+    Instant invalidated_at;                             // when it last began draining, was gone or restarted
     bool usable(const Instant table_created_at, const bool removal_binds) const {
       if (!announced) return false;
       if (announced->availability == Availability::draining) return false;
@@ -127,13 +127,13 @@
   void absorb(const FactsReceived& input);
   void absorb(const GroupLeadership& input);
   void absorb(const LeaderTable& input);
-  void restore_backend(BackendId id, BackendRecord& record, Memory& memory);
+  void restore_backend(BackendId id, BackendRecord& record, PolicySnapshot& memory);
   void end_takeovers();
   void update_spillover(const std::vector<Event>& reports);
   void update_subset_shares();
   [[nodiscard]] std::vector<double> subset_zone_shares(const Table& table, ZoneId proxies,
                                                        const std::vector<double>& in_table) const;
-  [[nodiscard]] spill::Trips zone_latencies(const std::vector<Event>& reports);
+  [[nodiscard]] spillover::ZoneLatencies zone_latencies(const std::vector<Event>& reports);
   [[nodiscard]] TablePtr spillover_table(TablePtr table, ZoneId proxies);
   [[nodiscard]] std::map<BackendId, double> forwarder_lines(ProxyId forwarder, const Table& table) const;
   [[nodiscard]] TablePtr group_table_for(ProxyId group) const;
@@ -191,10 +191,11 @@
   std::map<TableId, std::pair<std::pair<std::uint64_t, std::uint64_t>, TablePtr>> guarded_tables_;
   std::uint64_t guard_generation_ = 0;  // incremented when the filter result may change
   // Table variants by zone of the proxies, when spillover between zones is enabled.
-  std::optional<spill::Spill> spill_;
+  std::optional<spillover::SpilloverPlanner> spill_;
   std::vector<std::vector<double>> zone_shares_;
   std::vector<std::vector<int>> failover_tiers_;
-  std::deque<std::vector<spill::Problem::Class>> recent_demand_;  // of the last report rounds
+  std::deque<std::vector<spillover::FlowProblem::OperationDemand>>
+      recent_demand_;  // of the last report rounds
   std::map<std::pair<TableId, ZoneId>, double> subset_shares_;
   // of the last report rounds
   std::map<std::pair<std::size_t, std::size_t>, std::deque<Span>> recent_latencies_;
@@ -232,8 +233,8 @@
   std::optional<Instant> next_override_change_;
   bool decisions_held_ = false;
   std::optional<Instant> hold_ordered_at_;
-  limits::FleetLimit fleet_limit_;
-  limits::FleetLimit::Parts limit_shares_;
+  limits::FleetRateLimit fleet_limit_;
+  limits::FleetRateLimit::Allocations limit_shares_;
   limits::RetryBudget retry_budget_;
   std::uint64_t table_version_ = 0, view_version_ = 0, publish_version_ = 0;
   bool roster_announced_ = false, publish_needed_ = true;
--- a/src/coordinator/groups.cpp
+++ b/src/coordinator/groups.cpp
@@ -70,8 +70,8 @@
 void ProxyPresence::record_arrivals(const std::vector<Event>& reports) {
   std::map<ProxyId, double> rates;
   for (const auto& event : reports)
-    if (const auto* d = std::get_if<DemandReport>(&event); d != nullptr && d->over > Span{})
-      rates[d->proxy] += d->arrived / d->over.seconds();
+    if (const auto* d = std::get_if<DemandReport>(&event); d != nullptr && d->interval > Span{})
+      rates[d->proxy] += d->arrived / d->interval.seconds();
   for (const auto& [group, rate] : rates) {
     auto& samples = measured_rates_[group];
     samples.push_back(rate);
--- a/src/coordinator/state_transfer.cpp
+++ b/src/coordinator/state_transfer.cpp
@@ -10,8 +10,8 @@
 
 using recovery::Entry;
 using recovery::Fact;
+using recovery::FactKind;
 using recovery::Facts;
-using recovery::Kind;
 
 namespace {
 
@@ -27,13 +27,13 @@
 // Resolution of the time of a group's last lookup: a quarter of the shortest group_idle that settings allow.
 const Span kLastSeenResolution = Span::seconds(2.5);
 
-Fact fact_of_ladder(const Memory::Rung& rung, Instant now) {
+Fact fact_of_ladder(const PolicySnapshot::ShareState& rung, Instant now) {
   Fact f;
   f.figures = {{"share", rung.share},
-               {"falling", rung.falling ? 1 : 0},
-               {"eased", rung.eased ? 1 : 0},
-               {"relapses", rung.relapses}};
-  f.times = {{"next", now + rung.next_in}, {"changed", now - rung.changed_ago}};
+               {"falling", rung.reducing ? 1 : 0},
+               {"eased", rung.was_slow ? 1 : 0},
+               {"relapses", rung.failed_trials}};
+  f.times = {{"next", now + rung.next_step_in}, {"changed", now - rung.since_change}};
   return f;
 }
 
@@ -47,15 +47,15 @@
 }
 
 // Returns nullopt if a figure is out of range.
-std::optional<Memory::Rung> ladder_of(const Fact& f, Instant now) {
-  Memory::Rung rung;
-  rung.share = figure(f, "share", -1), rung.falling = figure(f, "falling", 0) > 0,
-  rung.eased = figure(f, "eased", 0) > 0;
+std::optional<PolicySnapshot::ShareState> ladder_of(const Fact& f, Instant now) {
+  PolicySnapshot::ShareState rung;
+  rung.share = figure(f, "share", -1), rung.reducing = figure(f, "falling", 0) > 0,
+  rung.was_slow = figure(f, "eased", 0) > 0;
   const double relapses = figure(f, "relapses", 0);
   if (!(rung.share >= 0 && rung.share <= 1) || !(relapses >= 0 && relapses <= 1000)) return {};
-  rung.relapses = static_cast<int>(relapses);
-  rung.next_in = time_of(f, "next").value_or(now) - now,
-  rung.changed_ago = now - time_of(f, "changed").value_or(now);
+  rung.failed_trials = static_cast<int>(relapses);
+  rung.next_step_in = time_of(f, "next").value_or(now) - now,
+  rung.since_change = now - time_of(f, "changed").value_or(now);
   return rung;
 }
 
@@ -73,55 +73,56 @@
     return f;
   };
   if (decision_maker_.export_state) {
-    const Memory m = decision_maker_.export_state(now_);
+    const PolicySnapshot m = decision_maker_.export_state(now_);
     for (const auto& [zone, rung] : m.zones)
       if (zone.value < settings_.zones.size())
-        all[{Kind::zone_ladder, settings_.zones[zone.value]}] = fact_of_ladder(rung, now_);
+        all[{FactKind::zone_ladder, settings_.zones[zone.value]}] = fact_of_ladder(rung, now_);
     for (const auto& [key, rung] : m.links)
       if (key.first.value < settings_.zones.size() && key.second.value < settings_.zones.size())
-        all[{Kind::link_ladder, settings_.zones[key.first.value] + ">" + settings_.zones[key.second.value]}] =
-            fact_of_ladder(rung, now_);
+        all[{FactKind::link_ladder, settings_.zones[key.first.value] + ">" +
+                                        settings_.zones[key.second.value]}] = fact_of_ladder(rung, now_);
     for (const auto& [id, rung] : m.backends)
       if (backends_.contains(id))
-        all[{Kind::backend_ladder, backend_name(id)}] = for_instance(id, fact_of_ladder(rung, now_));
+        all[{FactKind::backend_ladder, backend_name(id)}] = for_instance(id, fact_of_ladder(rung, now_));
     Fact carried;
-    for (std::size_t k = 0; k < m.able.size(); ++k) carried.figures[std::to_string(k)] = m.able[k];
-    if (!m.able.empty()) all[{Kind::carried, "fleet"}] = carried;
+    for (std::size_t k = 0; k < m.capacity_samples.size(); ++k)
+      carried.figures[std::to_string(k)] = m.capacity_samples[k];
+    if (!m.capacity_samples.empty()) all[{FactKind::carried, "fleet"}] = carried;
   }
   for (const auto& [id, record] : backends_) {
     if (!record.announced) continue;
     if (record.announced->availability == Availability::draining &&
         !operator_overrides_.disabled(record.entry.name))
-      all[{Kind::drain, record.entry.name}] = for_instance(id, {});
+      all[{FactKind::drain, record.entry.name}] = for_instance(id, {});
     if (!warm(record) && record.announced->availability == Availability::ready) {
       Fact cold = for_instance(id, {});
       cold.times["started"] = *record.announced->started;
-      all[{Kind::cold_start, record.entry.name}] = cold;
+      all[{FactKind::cold_start, record.entry.name}] = cold;
     }
   }
   for (const auto& [proxy, seen] : proxy_presence_.present()) {
-    all[{Kind::usual_rate, proxy_name(proxy)}].figures["rate"] = proxy_presence_.usual_rate(proxy);
+    all[{FactKind::usual_rate, proxy_name(proxy)}].figures["rate"] = proxy_presence_.usual_rate(proxy);
     if (!is_forwarder(proxy)) {
       const auto bound = bound_tables_.find(proxy);
       if (bound != bound_tables_.end())
-        all[{Kind::group_table, proxy_name(proxy)}].figures["table"] = bound->second.value;
+        all[{FactKind::group_table, proxy_name(proxy)}].figures["table"] = bound->second.value;
     }
   }
   for (const auto& [proxy, seen] : last_lookups_)
     if (now_ - seen < settings_.group_idle) {
       // Rounded down, so that the fact changes now and then rather than with each lookup.
       const auto steps = (seen - Instant{}).micros() / kLastSeenResolution.micros();
-      all[{Kind::group_seen, proxy_name(proxy)}].times["seen"] =
+      all[{FactKind::group_seen, proxy_name(proxy)}].times["seen"] =
           Instant{} + Span::micros(steps * kLastSeenResolution.micros());
     }
-  for (const auto& [proxy, part] : retry_budget_.parts())
+  for (const auto& [proxy, part] : retry_budget_.allocations())
     if (std::abs(part - settings_.retry_share) > 1e-9)
-      all[{Kind::further_tries, proxy_name(proxy)}].figures["part"] = part;
+      all[{FactKind::further_tries, proxy_name(proxy)}].figures["part"] = part;
   for (const auto& [proxy, version] : delivered_versions_)
-    all[{Kind::sent_table, proxy_name(proxy)}].figures["version"] = static_cast<double>(version);
+    all[{FactKind::sent_table, proxy_name(proxy)}].figures["version"] = static_cast<double>(version);
   for (const auto& [proxy, version] : applied_versions_)
     if (version > 0)
-      all[{Kind::held_table, proxy_name(proxy)}].figures["version"] = static_cast<double>(version);
+      all[{FactKind::held_table, proxy_name(proxy)}].figures["version"] = static_cast<double>(version);
   std::set<TableId> group_tables;
   for (const auto& [proxy, table] : bound_tables_)
     if (!is_forwarder(proxy)) group_tables.insert(table);
@@ -131,7 +132,7 @@
     const std::string number = std::to_string(id.value);
     for (const auto& [backend, weight] : it->second->lines)
       if (backends_.contains(backend))
-        all[{Kind::table_lines, number + "/" + std::to_string(backend.value % kTableLineShards)}]
+        all[{FactKind::table_lines, number + "/" + std::to_string(backend.value % kTableLineShards)}]
             .figures[backend_name(backend)] = weight;
     Fact levels;
     for (std::size_t k = 0; k < it->second->levels.size() && k < settings_.operations.size(); ++k) {
@@ -139,33 +140,33 @@
       levels.figures["tries " + settings_.operations[k].name] =
           static_cast<double>(it->second->levels[k].tries);
     }
-    if (!levels.figures.empty()) all[{Kind::table_levels, number}] = levels;
+    if (!levels.figures.empty()) all[{FactKind::table_levels, number}] = levels;
   }
   for (const auto& [name, w] : operator_overrides_.weight_orders())
-    all[{Kind::person_weight, name}] = {
+    all[{FactKind::person_weight, name}] = {
         "", {{"weight", w.weight}}, {{"until", w.until}, {"ordered", w.ordered}}};
   for (const auto& [name, o] : operator_overrides_.disable_orders())
-    all[{Kind::person_out, name}] = {"", {{"out", o.disabled ? 1 : 0}}, {{"ordered", o.ordered}}};
+    all[{FactKind::person_out, name}] = {"", {{"out", o.disabled ? 1 : 0}}, {{"ordered", o.ordered}}};
   for (const auto& [name, z] : operator_overrides_.zone_orders())
-    all[{Kind::person_zone, name}] = {
+    all[{FactKind::person_zone, name}] = {
         "", {{"down", z.draining ? 1 : 0}, {"from", z.start_share}}, {{"ordered", z.since}}};
   if (hold_ordered_at_)
-    all[{Kind::hold, settings_.zones[settings_.zone.value]}] = {
+    all[{FactKind::hold, settings_.zones[settings_.zone.value]}] = {
         "", {{"on", decisions_held_ ? 1 : 0}}, {{"ordered", *hold_ordered_at_}}};
-  all[{Kind::fleet, "fleet"}].figures["backends"] = static_cast<double>(roster_size_);
+  all[{FactKind::fleet, "fleet"}].figures["backends"] = static_cast<double>(roster_size_);
   return all;
 }
 
 bool Coordinator::zone_shift_in_progress() const {
   if (next_override_change_ && !operator_overrides_.zone_orders().empty()) return true;
   if (!decision_maker_.export_state) return false;
-  const Memory m = decision_maker_.export_state(now_);
+  const PolicySnapshot m = decision_maker_.export_state(now_);
   return std::any_of(m.zones.begin(), m.zones.end(),
-                     [](const auto& record) { return record.second.falling || record.second.share < 1; });
+                     [](const auto& record) { return record.second.reducing || record.second.share < 1; });
 }
 
 void Coordinator::absorb(const FactsReceived& input) {
-  Memory memory;
+  PolicySnapshot memory;
   std::map<std::string, std::uint64_t> sent, held;
   const auto find_zone = [&](const std::string& name) -> std::optional<ZoneId> {
     const auto it = std::find(settings_.zones.begin(), settings_.zones.end(), name);
@@ -187,81 +188,81 @@
     const std::string& name = entry.subject.name;
     const auto ordered = time_of(f, "ordered");
     // A removed fact matters only for zone orders, which are revoked by removal.
-    if (entry.gone) {
-      if (entry.subject.kind == Kind::person_zone)
+    if (entry.deleted) {
+      if (entry.subject.kind == FactKind::person_zone)
         overrides_changed |= operator_overrides_.forget_zone(name, entry.learned);
       continue;
     }
     switch (entry.subject.kind) {
-      case Kind::zone_ladder:
+      case FactKind::zone_ladder:
         if (const auto zone = find_zone(name))
           if (const auto rung = ladder_of(f, now_)) memory.zones[*zone] = *rung;
         break;
-      case Kind::link_ladder: {
+      case FactKind::link_ladder: {
         const auto at = name.find('>');
         if (at == std::string::npos) break;
         const auto from = find_zone(name.substr(0, at)), to = find_zone(name.substr(at + 1));
         if (const auto rung = ladder_of(f, now_); rung && from && to) memory.links[{*from, *to}] = *rung;
         break;
       }
-      case Kind::backend_ladder:
+      case FactKind::backend_ladder:
         remembered_[name].ladder = f;
         break;
-      case Kind::drain:
+      case FactKind::drain:
         remembered_[name].drain = f;
         break;
-      case Kind::cold_start:
+      case FactKind::cold_start:
         if (f.times.contains("started")) remembered_[name].cold = f;
         break;
-      case Kind::carried:
+      case FactKind::carried:
         for (const auto& [index, able] : f.figures)
-          if (able > 0) memory.able.push_back(able);
+          if (able > 0) memory.capacity_samples.push_back(able);
         break;
-      case Kind::usual_rate:
+      case FactKind::usual_rate:
         if (const auto proxy = find_proxy(name))
           proxy_presence_.restore_rate(*proxy, std::clamp(figure(f, "rate", 0), 0.0, 1e6));
         break;
-      case Kind::further_tries:
+      case FactKind::further_tries:
         if (const auto proxy = find_proxy(name); proxy && is_forwarder(*proxy))
-          retry_budget_.recall(*proxy, figure(f, "part", settings_.retry_share));
+          retry_budget_.restore(*proxy, figure(f, "part", settings_.retry_share));
         break;
-      case Kind::sent_table:
+      case FactKind::sent_table:
         sent[name] = static_cast<std::uint64_t>(figure(f, "version", 0));
         break;
-      case Kind::held_table:
+      case FactKind::held_table:
         held[name] = static_cast<std::uint64_t>(figure(f, "version", 0));
         break;
-      case Kind::person_weight:
+      case FactKind::person_weight:
         if (const auto until = time_of(f, "until");
             until && ordered && *until > now_ && figure(f, "weight", 0) > 0)
           overrides_changed |= operator_overrides_.restore(
               name, OperatorOverrides::WeightOrder{figure(f, "weight", 1), *until, *ordered});
         break;
-      case Kind::person_out:
+      case FactKind::person_out:
         if (ordered)
           overrides_changed |= operator_overrides_.restore(
               name, OperatorOverrides::DisableOrder{figure(f, "out", 0) > 0, *ordered});
         break;
-      case Kind::person_zone:
+      case FactKind::person_zone:
         if (ordered && find_zone(name))
           overrides_changed |= operator_overrides_.restore(
               name, OperatorOverrides::ZoneOrder{figure(f, "down", 0) > 0,
                                                  std::clamp(figure(f, "from", 1), 0.0, 1.0), *ordered});
         break;
-      case Kind::hold:
+      case FactKind::hold:
         if (ordered && (!hold_ordered_at_ || *hold_ordered_at_ < *ordered))
           decisions_held_ = figure(f, "on", 0) > 0, hold_ordered_at_ = ordered;
         break;
-      case Kind::group_seen:
+      case FactKind::group_seen:
         if (const auto proxy = find_proxy(name);
             proxy && !is_forwarder(*proxy) && !remotely_led_.contains(*proxy))
           if (const auto when = time_of(f, "seen"); when && now_ - *when < settings_.group_idle)
             absorb(GroupLookup{*proxy});
         break;
-      case Kind::group_table:
-      case Kind::table_lines:
-      case Kind::table_levels:
-      case Kind::fleet:
+      case FactKind::group_table:
+      case FactKind::table_lines:
+      case FactKind::table_levels:
+      case FactKind::fleet:
         break;
     }
   }
@@ -269,7 +270,7 @@
     if (const auto proxy = find_proxy(name))
       partially_sent_[*proxy] = !held.contains(name) || held.at(name) != version;
   if (decision_maker_.import_state &&
-      (!memory.zones.empty() || !memory.links.empty() || !memory.able.empty()))
+      (!memory.zones.empty() || !memory.links.empty() || !memory.capacity_samples.empty()))
     decision_maker_.import_state(now_, memory);
   if (overrides_changed) next_override_change_ = operator_overrides_.next_change(now_);
   for (const auto& [id, record] : backends_)
@@ -278,7 +279,7 @@
 
 // State restored for a name applies only to the process it was recorded for: the same address and, if both
 // are known, the same start time.
-void Coordinator::restore_backend(BackendId id, BackendRecord& record, Memory& memory) {
+void Coordinator::restore_backend(BackendId id, BackendRecord& record, PolicySnapshot& memory) {
   const auto it = remembered_.find(record.entry.name);
   if (it == remembered_.end()) return;
   RememberedBackend& remembered = it->second;
@@ -365,7 +366,7 @@
   for (const auto& [name, weight] : input.lines)
     if (const auto id = backend_id(name); id && weight > 0) table.lines[*id] = weight;
   for (const auto& [tries, level] : input.levels)
-    table.levels.push_back({static_cast<FurtherTries>(std::clamp(tries, 0, 3)), std::clamp(level, 0.0, 1.0)});
+    table.levels.push_back({static_cast<RetryPolicy>(std::clamp(tries, 0, 3)), std::clamp(level, 0.0, 1.0)});
   if (table.lines.empty()) return;
   TablePtr& was = leader_tables_[input.group];
   // If the leader repeats the same lines after it must have noticed a backend's restart, the table counts as
--- a/src/coordinator/types.hpp
+++ b/src/coordinator/types.hpp
@@ -48,7 +48,7 @@
   std::vector<OperationInfo> operations;
   std::vector<Group> groups;  // the last one takes all other sources
   std::vector<Forwarder> forwarders;
-  bool spill = false;                        // distribute traffic between zones by tier (spill/spill.hpp)
+  bool spill = false;  // distribute traffic between zones by tier (spillover/spillover_planner.hpp)
   std::vector<std::vector<int>> zone_tiers;  // [proxy zone][backend zone]: 0 own, 1 near, 2 far
   double fleet_rate = 0;  // admission limit of all forwarders together, invocations per second; 0: none
   // retry budget: retries per first try of forwarders; 0: only the tables' rules apply
@@ -162,7 +162,8 @@
   Span lifetime;
   bool force = false;  // drain the zone even if the other zones have not shown enough spare capacity
 };
-// Facts from an earlier run or from another controller, as far as they are accepted (recovery/belief.hpp).
+// Facts from an earlier run or from another controller, as far as they are accepted
+// (recovery/fact_confidence.hpp).
 struct FactsReceived {
   std::vector<recovery::Entry> facts;
   // from this coordinator's own earlier run: its forwarders still have the tables it ordered
@@ -199,7 +200,7 @@
   bool operator==(const Line&) const = default;
 };
 struct AdmissionLevel {
-  FurtherTries tries = FurtherTries::after_proof;
+  RetryPolicy tries = RetryPolicy::if_unprocessed;
   double level = 1;
   bool operator==(const AdmissionLevel&) const = default;
 };
--- a/src/coordinator/zone_spillover.cpp
+++ b/src/coordinator/zone_spillover.cpp
@@ -30,11 +30,11 @@
 
 void Coordinator::update_spillover(const std::vector<Event>& reports) {
   const std::size_t zones = settings_.zones.size();
-  std::vector<spill::ZoneNow> now(zones);
+  std::vector<spillover::ZoneSample> now(zones);
   std::vector<std::pair<double, double>> utilization(zones);  // sum and count
   for (const auto& [id, record] : backends_)
     if (record.announced && record.announced->availability == Availability::ready)
-      now[record.entry.zone.value].listed += record.announced->weight;
+      now[record.entry.zone.value].listed_weight += record.announced->weight;
   for (const auto& [id, table] : current_tables_) {
     // Subsets of the shared table only; the tables of single zones repeat their lines.
     if (id.value >= kFirstZoneTableId) continue;
@@ -43,17 +43,17 @@
         now[record->second.entry.zone.value].weight += weight;
   }
   double mean_cost = 0, all = 0;
-  std::vector<spill::Problem::Class> classes;
+  std::vector<spillover::FlowProblem::OperationDemand> classes;
   for (const auto& op : settings_.operations)
     classes.push_back({op.billed_value, op.latency_objective.seconds(), std::vector<double>(zones, 0)});
   for (const auto& event : reports)
     if (const auto* d = std::get_if<DemandReport>(&event);
-        d != nullptr && d->operation.value < classes.size() && d->over > Span{}) {
+        d != nullptr && d->operation.value < classes.size() && d->interval > Span{}) {
       const bool from_forwarder = is_forwarder(d->proxy);
       const std::size_t index = from_forwarder ? d->proxy.value - kFirstForwarderId : d->proxy.value;
       if (index >= (from_forwarder ? settings_.forwarders.size() : settings_.groups.size())) continue;
       const ZoneId zone = from_forwarder ? settings_.forwarders[index].zone : settings_.groups[index].zone;
-      const double rate = d->arrived / d->over.seconds();
+      const double rate = d->arrived / d->interval.seconds();
       classes[d->operation.value].demand[zone.value] += rate;
       mean_cost += rate * classes[d->operation.value].cost, all += rate;
     }
@@ -71,46 +71,46 @@
   // and the reports only give each zone's share of it.
   double total_succeeded = 0;
   for (const auto& event : reports)
-    if (const auto* r = std::get_if<BackendReport>(&event); r != nullptr && r->over > Span{})
-      total_succeeded += (r->tries - r->errored) / r->over.seconds();
+    if (const auto* r = std::get_if<BackendReport>(&event); r != nullptr && r->interval > Span{})
+      total_succeeded += (r->tries - r->errored) / r->interval.seconds();
   for (const auto& event : reports)
     if (const auto* r = std::get_if<BackendReport>(&event);
-        r != nullptr && r->over > Span{} && total_succeeded > 0) {
+        r != nullptr && r->interval > Span{} && total_succeeded > 0) {
       const auto record = backends_.find(r->backend);
       if (record == backends_.end()) continue;
       const std::size_t z = record->second.entry.zone.value;
-      now[z].carried += (r->tries - r->errored) / r->over.seconds() / total_succeeded * all * mean_cost;
-      if (r->busy) utilization[z].first += *r->busy, utilization[z].second += 1;
+      now[z].goodput += (r->tries - r->errored) / r->interval.seconds() / total_succeeded * all * mean_cost;
+      if (r->utilization) utilization[z].first += *r->utilization, utilization[z].second += 1;
     }
   for (std::size_t z = 0; z < zones; ++z)
-    now[z].pressure = utilization[z].second > 0 ? utilization[z].first / utilization[z].second : 0;
-  spill::Cut dead_links;
+    now[z].cpu_utilization = utilization[z].second > 0 ? utilization[z].first / utilization[z].second : 0;
+  spillover::UnreachablePairs dead_links;
   if (decision_maker_.export_state)
     for (const auto& [link, rung] : decision_maker_.export_state(now_).links)
       if (rung.share < kDeadLinkShare) dead_links.emplace(link.first.value, link.second.value);
   const auto d = spill_->decide(now_, now, classes, zone_latencies(reports), dead_links);
-  if (d.tiers_doubted != tier_mismatch_) {
-    for (std::size_t z = 0; z < d.tiers_doubted.size(); ++z)
-      if (d.tiers_doubted[z] && (tier_mismatch_.empty() || !tier_mismatch_[z]))
+  if (d.tier_mismatch != tier_mismatch_) {
+    for (std::size_t z = 0; z < d.tier_mismatch.size(); ++z)
+      if (d.tier_mismatch[z] && (tier_mismatch_.empty() || !tier_mismatch_[z]))
         log_event(LogEvent::Severity::warning, "tiers_doubted", {{"zone", settings_.zones[z]}});
-    tier_mismatch_ = d.tiers_doubted;
+    tier_mismatch_ = d.tier_mismatch;
   }
-  if (d.strain != overloaded_) {
+  if (d.overloaded != overloaded_) {
     std::string lost, drained;
     for (std::size_t z = 0; z < zones; ++z) {
-      if (now[z].listed > 0 && now[z].weight < 0.1 * now[z].listed)
+      if (now[z].listed_weight > 0 && now[z].weight < 0.1 * now[z].listed_weight)
         lost += (lost.empty() ? "" : " ") + settings_.zones[z];
       if (operator_overrides_.drained(settings_.zones[z]))
         drained += (drained.empty() ? "" : " ") + settings_.zones[z];
     }
     // An operator's drain stays in force; the log tells the operator what it costs now.
-    log_event(LogEvent::Severity::warning, d.strain ? "strain_began" : "strain_over",
+    log_event(LogEvent::Severity::warning, d.overloaded ? "strain_began" : "strain_over",
               {{"zones_lost", lost}, {"drained_by_person", drained}});
-    overloaded_ = d.strain;
+    overloaded_ = d.overloaded;
   }
   update_subset_shares();
-  if (d.parts.empty() || (d.parts == zone_shares_ && d.turn_to == failover_tiers_)) return;
-  zone_shares_ = d.parts, failover_tiers_ = d.turn_to;
+  if (d.shares.empty() || (d.shares == zone_shares_ && d.failover_tier == failover_tiers_)) return;
+  zone_shares_ = d.shares, failover_tiers_ = d.failover_tier;
   ++spillover_generation_;
 }
 
@@ -173,18 +173,18 @@
 
 // Latency between zones: the mean of the fastest backend in each round, so that queueing does not count as
 // distance, and the median over rounds.
-spill::Trips Coordinator::zone_latencies(const std::vector<Event>& reports) {
-  spill::Trips fastest;
+spillover::ZoneLatencies Coordinator::zone_latencies(const std::vector<Event>& reports) {
+  spillover::ZoneLatencies fastest;
   for (const auto& event : reports)
     if (const auto* r = std::get_if<BackendReport>(&event);
         r != nullptr && r->tries - r->errored >= kMinLatencyTries && r->mean_latency > Span{}) {
       const auto record = backends_.find(r->backend);
       if (record == backends_.end() || !warm(record->second)) continue;
       const auto [it, fresh] =
-          fastest.try_emplace({r->proxies_in.value, record->second.entry.zone.value}, r->mean_latency);
+          fastest.try_emplace({r->proxy_zone.value, record->second.entry.zone.value}, r->mean_latency);
       if (!fresh) it->second = std::min(it->second, r->mean_latency);
     }
-  spill::Trips medians;
+  spillover::ZoneLatencies medians;
   for (const auto& [pair, span] : fastest) {
     auto& rounds = recent_latencies_[pair];
     rounds.push_back(span);
--- a/tests/coordinator/coordinator_test.cpp
+++ b/tests/coordinator/coordinator_test.cpp
@@ -99,7 +99,7 @@
   std::vector<Order> next;
   Rig rig{4, test_settings(), [&](Instant, const std::vector<Event>&) { return std::exchange(next, {}); }};
   const auto line = [&](const char* name, double w) {
-    return SetLine{TableId{}, *rig.core.backend_id(name), w};
+    return SetWeight{TableId{}, *rig.core.backend_id(name), w};
   };
   next = {line("w0", 1), line("w1", 1), BindProxy{ProxyId{0}, TableId{}}};
   rig.seconds(1);
@@ -123,13 +123,13 @@
   std::vector<Order> next;
   Rig rig{4, test_settings(), [&](Instant, const std::vector<Event>&) { return std::exchange(next, {}); }};
   for (unsigned k = 0; k < 4; ++k)
-    next.emplace_back(SetLine{TableId{}, *rig.core.backend_id("w" + std::to_string(k)), 1});
+    next.emplace_back(SetWeight{TableId{}, *rig.core.backend_id("w" + std::to_string(k)), 1});
   next.emplace_back(BindProxy{ProxyId{0}, TableId{}});
   rig.seconds(1);
   rig.restart(2, "second");
   rig.seconds(1);
   EXPECT_EQ(rig.weight(0, 2), 0) << "a cold worker must not get its full weight";
-  next = {SetLine{TableId{}, *rig.core.backend_id("w2"), 0.1}};
+  next = {SetWeight{TableId{}, *rig.core.backend_id("w2"), 0.1}};
   rig.seconds(1);
   EXPECT_DOUBLE_EQ(rig.weight(0, 2), 0.1);
 }
@@ -188,7 +188,7 @@
   Rig rig{12, s, [&](Instant, const std::vector<Event>&) { return std::exchange(next, {}); }};
   const auto order = [&](double w) {
     for (unsigned k = 0; k < 12; ++k)
-      next.emplace_back(SetLine{TableId{}, *rig.core.backend_id("w" + std::to_string(k)), w});
+      next.emplace_back(SetWeight{TableId{}, *rig.core.backend_id("w" + std::to_string(k)), w});
   };
   order(1);
   next.emplace_back(BindProxy{ProxyId{0}, TableId{}}), next.emplace_back(BindProxy{ProxyId{1}, TableId{}});
@@ -213,7 +213,7 @@
   Rig rig{3, s, [&](Instant, const std::vector<Event>&) { return std::exchange(next, {}); }};
   next = {BindProxy{ProxyId{0}, TableId{}}};
   for (int k = 0; k < 40; ++k) {
-    next.emplace_back(SetLine{TableId{}, *rig.core.backend_id("w0"), 1.0 + k});
+    next.emplace_back(SetWeight{TableId{}, *rig.core.backend_id("w0"), 1.0 + k});
     rig.now = rig.now + Span::seconds(0.2);
     messages +=
         static_cast<int>(rig.step({GroupLookup{ProxyId{0}}, RosterUpdate{rig.roster}}).messages.size());
@@ -234,7 +234,7 @@
   Rig rig{3, s, [&](Instant, const std::vector<Event>&) { return std::exchange(next, {}); }};
   next = {BindProxy{ProxyId{0}, TableId{}}};
   for (int k = 0; k < 600; ++k) {
-    next.emplace_back(SetLine{TableId{}, *rig.core.backend_id("w0"), 1.0 + k});
+    next.emplace_back(SetWeight{TableId{}, *rig.core.backend_id("w0"), 1.0 + k});
     rig.now = rig.now + Span::seconds(0.05);
     for (std::size_t n = rig.step({GroupLookup{ProxyId{0}}, RosterUpdate{rig.roster}}).messages.size(); n > 0;
          --n)
--- a/tests/coordinator/report_aggregator_test.cpp
+++ b/tests/coordinator/report_aggregator_test.cpp
@@ -42,7 +42,7 @@
   EXPECT_EQ(r->tries, 4);
   EXPECT_EQ(r->errored, 0);
   EXPECT_NEAR(r->mean_latency.seconds(), 0.2, 1e-6);
-  EXPECT_EQ(r->busy, 0.5);
+  EXPECT_EQ(r->utilization, 0.5);
 }
 
 TEST(ReportAggregator, DropsFaultyLoadButKeepsValidCounts) {
@@ -52,14 +52,14 @@
   auto r = h.report();
   ASSERT_TRUE(r);
   EXPECT_EQ(r->tries, 5);
-  EXPECT_FALSE(r->busy);
+  EXPECT_FALSE(r->utilization);
   h.sample.util = 0.02, h.sample.queue = 9;
   EXPECT_EQ(h.next(5), SampleFault::contradicting);
-  EXPECT_FALSE(h.report()->busy);
+  EXPECT_FALSE(h.report()->utilization);
   for (const double util : {-0.1, 7.0, std::nan(""), HUGE_VAL}) {
     h.sample.util = util, h.sample.queue = 0;
     EXPECT_EQ(h.next(5), SampleFault::out_of_range) << util;
-    EXPECT_FALSE(h.report()->busy);
+    EXPECT_FALSE(h.report()->utilization);
   }
 }
 
--- a/tests/coordinator/state_transfer_test.cpp
+++ b/tests/coordinator/state_transfer_test.cpp
@@ -7,7 +7,7 @@
 
 using recovery::Entry;
 using recovery::Fact;
-using recovery::Kind;
+using recovery::FactKind;
 
 std::vector<Entry> entries_from(const recovery::Facts& facts, Instant learned) {
   std::vector<Entry> entries;
@@ -30,7 +30,7 @@
   one.seconds(4);
   ASSERT_EQ(one.weight(0, 2), 0);
   const auto facts = one.core.facts();
-  ASSERT_TRUE(facts.contains({Kind::backend_ladder, "w2"}));
+  ASSERT_TRUE(facts.contains({FactKind::backend_ladder, "w2"}));
   Rig blank{9}, two{9};
   blank.seconds(9), two.seconds(9);  // the same clock as the first one
   EXPECT_EQ(blank.weight(0, 2), 1);
@@ -45,7 +45,7 @@
   Fact ladder{"",
               {{"share", 0}, {"falling", 0}, {"relapses", 1}},
               {{"next", rig.now + Span::seconds(6)}, {"changed", rig.now}}};
-  rig.step({FactsReceived{{{{Kind::zone_ladder, "b"}, ladder, rig.now, 1, false}}}});
+  rig.step({FactsReceived{{{{FactKind::zone_ladder, "b"}, ladder, rig.now, 1, false}}}});
   rig.seconds(2);
   EXPECT_EQ(rig.weight(0, 1), 0);
   EXPECT_TRUE(rig.core.zone_shift_in_progress());
@@ -59,7 +59,7 @@
     Rig rig{9};
     Fact f{place, {{"share", 0}}, {{"next", rig.now + Span::seconds(9)}, {"changed", rig.now}}};
     if (started != 0) f.times["started"] = Instant::at_seconds(started);
-    rig.step({FactsReceived{{{{Kind::backend_ladder, "w1"}, f, rig.now, 1, false}}}});
+    rig.step({FactsReceived{{{{FactKind::backend_ladder, "w1"}, f, rig.now, 1, false}}}});
     rig.seconds(2);
     return rig.weight(0, 1);
   };
@@ -76,7 +76,7 @@
   rig.seconds(1.5);
   ASSERT_EQ(rig.weight(0, 4), 0);
   const auto facts = rig.core.facts();
-  ASSERT_TRUE(facts.contains({Kind::drain, "w4"}));
+  ASSERT_TRUE(facts.contains({FactKind::drain, "w4"}));
   // After a restart: the roster lists the worker as ready, and it has not reported yet.
   Coordinator next{rig.s, policy_decision_maker(rig.s)};
   auto e = next.step(rig.now, {FactsReceived{entries_from(facts, rig.now)}, RosterUpdate{rig.roster}});
@@ -119,7 +119,7 @@
   s.forwarders = {{"f0", ZoneId{0}, {*Prefix::parse("127.7.0.0/24")}, 5}};
   return s;
 }
-FurtherTries tries_of(const Delivery& d) { return d.table->operations[0].level.tries; }
+RetryPolicy tries_of(const Delivery& d) { return d.table->operations[0].level.tries; }
 
 TEST(Takeover, DisablesRetriesUntilTheTableIsConfirmed) {
   const ProxyId f{kFirstForwarderId};
@@ -127,24 +127,24 @@
     Rig rig{9, with_forwarder()};
     rig.seconds(2);
     std::vector<Entry> known{
-        {{Kind::sent_table, "f0"}, {"", {{"version", 7}}, {}}, rig.now, 1, false},
-        {{Kind::held_table, "f0"}, {"", {{"version", half ? 6.0 : 7.0}}, {}}, rig.now, 2, false}};
+        {{FactKind::sent_table, "f0"}, {"", {{"version", 7}}, {}}, rig.now, 1, false},
+        {{FactKind::held_table, "f0"}, {"", {{"version", half ? 6.0 : 7.0}}, {}}, rig.now, 2, false}};
     rig.step({FactsReceived{known}, ForwarderJoined{f, true}});
     rig.seconds(1);
     ASSERT_FALSE(rig.deliveries.empty());
-    EXPECT_EQ(tries_of(rig.deliveries.back()), FurtherTries::none);
+    EXPECT_EQ(tries_of(rig.deliveries.back()), RetryPolicy::none);
     rig.seconds(3);
-    EXPECT_EQ(tries_of(rig.deliveries.back()), FurtherTries::none) << "not confirmed by the forwarder yet";
+    EXPECT_EQ(tries_of(rig.deliveries.back()), RetryPolicy::none) << "not confirmed by the forwarder yet";
     rig.step({ForwarderAppliedTable{f, rig.deliveries.back().table->version}});
     rig.seconds(1);
-    EXPECT_EQ(tries_of(rig.deliveries.back()), half ? FurtherTries::none : FurtherTries::after_proof);
+    EXPECT_EQ(tries_of(rig.deliveries.back()), half ? RetryPolicy::none : RetryPolicy::if_unprocessed);
     rig.seconds(4);
-    EXPECT_EQ(tries_of(rig.deliveries.back()), FurtherTries::after_proof);
+    EXPECT_EQ(tries_of(rig.deliveries.back()), RetryPolicy::if_unprocessed);
   }
   Rig own{9, with_forwarder()};
   own.step({ForwarderJoined{f, false}});
   own.seconds(1);
-  EXPECT_EQ(tries_of(own.deliveries.back()), FurtherTries::after_proof) << "no former controller";
+  EXPECT_EQ(tries_of(own.deliveries.back()), RetryPolicy::if_unprocessed) << "no former controller";
 }
 
 // A restarted coordinator connects to its forwarders before any worker has reported.
@@ -185,7 +185,7 @@
   Rig rig{6, s};
   const ProxyId f1{kFirstForwarderId};
   rig.step({FactsReceived{
-      {{{recovery::Kind::further_tries, "f1"}, {"", {{"part", 0.6}}, {}}, rig.now, 1, false}}, true}});
+      {{{recovery::FactKind::further_tries, "f1"}, {"", {{"part", 0.6}}, {}}, rig.now, 1, false}}, true}});
   std::vector<double> sent;
   const auto record = [&](const Effects& e) {
     for (const auto& d : e.deliveries)
