--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -21,12 +21,12 @@
 #include "hears/prober.hpp"
 #include "log/log.hpp"
 #include "net/loop.hpp"
-#include "peers/links.hpp"
+#include "peers/peer_transport.hpp"
 #include "record/recorder.hpp"
 #include "recovery/belief.hpp"
 #include "runtime_api/command_server.hpp"
 #include "runtime_api/operators.hpp"
-#include "shared_fleet/part.hpp"
+#include "shared_fleet/cluster_adapter.hpp"
 #include "store/keeper.hpp"
 
 namespace gorsemount::app {
@@ -94,13 +94,13 @@
                    say(warning, event, fields);
                  },
                  [this](ProxyId id) {
-                   return !cluster_ || cluster_->leads(shard_of(id), net::monotonic_now()).has_value();
+                   return !cluster_ || cluster_->held_term(shard_of(id), net::monotonic_now()).has_value();
                  },
                  [this](ProxyId id, std::uint64_t version, Span took, std::size_t changes) {
                    records_.in_force(id, version, took, changes);
                  },
                  [this](ProxyId id, std::uint64_t term) {
-                   if (cluster_) cluster_->learn(net::monotonic_now(), shard_of(id), {term});
+                   if (cluster_) cluster_->observe_term(net::monotonic_now(), shard_of(id), {term});
                  }}} {}
 
   int run() {
@@ -293,7 +293,7 @@
     if (c.members.empty()) return true;
     try {
       std::vector<hcl::Fault> faults;
-      auto keys = cluster::read_keys(config::read_file(c.key_file, faults));
+      auto keys = cluster::parse_keys(config::read_file(c.key_file, faults));
       cluster::ClusterSettings settings;
       std::map<cluster::MemberId, Endpoint> others;
       Endpoint own;
@@ -310,14 +310,14 @@
       const auto wall = static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(
                                                        std::chrono::system_clock::now().time_since_epoch())
                                                        .count());
-      settings.shards = static_cast<std::size_t>(c.shards), settings.floor = {wall};
-      settings.lease.length = c.lease, settings.lease.drift = c.drift;
-      settings.lease.renew_before = c.lease * 0.67, settings.lease.ask_again = c.lease * 0.1;
+      settings.shards = static_cast<std::size_t>(c.shards), settings.term_floor = {wall};
+      settings.lease.duration = c.lease, settings.lease.max_clock_drift = c.drift;
+      settings.lease.renew_before = c.lease * 0.67, settings.lease.retry_interval = c.lease * 0.1;
       settings.seed = s_.core.seed + settings.self.value;
       frames_.emplace(settings.self, wall, std::move(keys));
       cluster_.emplace(std::move(settings), net::monotonic_now());
       part_.emplace(*cluster_);
-      links_ = std::make_unique<peers::Links>(
+      links_ = std::make_unique<peers::PeerTransport>(
           loop_, *frames_, own, std::move(others),
           [this](const cluster::Message& m) {
             cluster_->receive(net::monotonic_now(), m);
@@ -350,14 +350,14 @@
     runtime_api::Operators::Rows rows;
     for (std::size_t k = 0; k < s_.cluster.members.size(); ++k) {
       const auto& [name, at] = s_.cluster.members[k];
-      const auto standing = cluster_->standing({static_cast<std::uint16_t>(k)});
+      const auto standing = cluster_->state_of({static_cast<std::uint16_t>(k)});
       rows.push_back({{"kind", "member"},
                       {"name", name},
                       {"standing", standings[static_cast<std::size_t>(standing)]},
                       {"at", at.text()},
                       {"term", name == s_.cluster.member ? "self" : "-"}});
     }
-    for (const auto& [id, term] : part_->led())
+    for (const auto& [id, term] : part_->forwarder_terms())
       rows.push_back({{"kind", "forwarder"},
                       {"name", s_.core.forwarders[id.value - coordinator::kFirstForwarder].name},
                       {"standing", term ? "led here" : "led elsewhere"},
@@ -373,14 +373,14 @@
     // asks anew.
     cluster_wake_ = loop_.at(std::min(cluster_->wake_at(), loop_.now() + Span::seconds(0.05)),
                              [this] { tick_cluster(); });
-    follow(part_->look(net::monotonic_now(), s_.core));
+    follow(part_->poll_leadership(net::monotonic_now(), s_.core));
   }
 
-  void follow(shared_fleet::Turn turn) {
+  void follow(shared_fleet::ClusterUpdate turn) {
     if (turn.recalled > 0)
       log_.event(log::Level::info, "recalled", {{"facts", std::to_string(turn.recalled)}});
     for (auto& input : turn.inputs) take(std::move(input));
-    for (const auto& lead : turn.leads) {
+    for (const auto& lead : turn.lead_changes) {
       if (lead.now.has_value() != lead.before.has_value())
         log_.event(
             log::Level::info, lead.now ? "leads" : "leads_no_more",
@@ -393,7 +393,7 @@
   // What this one knows goes to the others; what they know and what acts at once goes to the core.
   void tell_cluster() {
     bool changed = false;
-    follow(part_->tell(net::monotonic_now(), core_, changed));
+    follow(part_->exchange_facts(net::monotonic_now(), core_, changed));
     if (changed) tick_cluster();
     loop_.after(kTell, [this] { tell_cluster(); });
   }
@@ -467,7 +467,7 @@
     if (frames_) {
       // Keys rotate without a stop: all of the new ring open, its last one seals.
       try {
-        frames_->set_keys(cluster::read_keys(config::read_file(s_.cluster.key_file, faults)));
+        frames_->set_keys(cluster::parse_keys(config::read_file(s_.cluster.key_file, faults)));
         log_.event(log::Level::info, "keys_read", {{"file", s_.cluster.key_file}});
       } catch (const std::exception& fault) {
         log_.event(log::Level::warning, "reload_refused", {{"why", fault.what()}});
@@ -479,7 +479,7 @@
     s_.core.groups = fresh.core.groups, s_.core.trusted_resolvers = fresh.core.trusted_resolvers;
     s_.core.lifetime_most = fresh.core.lifetime_most, s_.core.group_idle = fresh.core.group_idle;
     seen_.assign(s_.core.groups.size(), {});
-    if (part_) part_->forget_groups();
+    if (part_) part_->reset_groups();
     inputs_.emplace_back(coordinator::Retuned{s_.core});
     step();
     roster_.follow(s_.roster_file);
@@ -515,10 +515,10 @@
   std::vector<Input> inputs_;
   std::vector<Instant> seen_;
   std::vector<std::string> answers_;
-  std::optional<cluster::Frames> frames_;
+  std::optional<cluster::FrameCodec> frames_;
   std::optional<cluster::Cluster> cluster_;
-  std::unique_ptr<peers::Links> links_;
-  std::optional<shared_fleet::Part> part_;
+  std::unique_ptr<peers::PeerTransport> links_;
+  std::optional<shared_fleet::ClusterAdapter> part_;
   std::optional<background::Background> background_;  // outlives those who work in it
   std::optional<record::Recorder> recorder_;
   std::optional<store::Keeper> keeper_;
--- a/src/coordinator/coordinator.cpp
+++ b/src/coordinator/coordinator.cpp
@@ -73,8 +73,8 @@
 namespace {
 
 // The settings tell no cost; the latency objective is the only hint of it, as in the module.
-std::vector<limits::Priced> priced(const Settings& s) {
-  std::vector<limits::Priced> operations;
+std::vector<limits::PricedOperation> priced(const Settings& s) {
+  std::vector<limits::PricedOperation> operations;
   for (std::size_t k = 0; k < s.operations.size(); ++k)
     operations.push_back(
         {op_at(k), s.operations[k].billed_value, s.operations[k].latency_objective.seconds()});
@@ -216,7 +216,7 @@
 
 void Coordinator::absorb(const ForwarderJoined& e) {
   for (auto& event : attendance_.joined(now_, e.forwarder)) {
-    channel_.join(e.forwarder), limit_.joined(e.forwarder), retries_.joined(e.forwarder),
+    channel_.join(e.forwarder), limit_.add_forwarder(e.forwarder), retries_.add_forwarder(e.forwarder),
         holds_[e.forwarder] = 0;
     if (own_memory_ && !e.holds.empty()) found_[e.forwarder] = {e.holds, now_ + s_.report_every * kFound};
     if (e.taken_over) {
@@ -230,7 +230,7 @@
 
 void Coordinator::absorb(const ForwarderLeft& e) {
   for (auto& event : attendance_.left(e.forwarder)) {
-    channel_.leave(e.forwarder), limit_.left(e.forwarder), retries_.left(e.forwarder);
+    channel_.leave(e.forwarder), limit_.remove_forwarder(e.forwarder), retries_.remove_forwarder(e.forwarder);
     bound_.erase(e.forwarder), holds_.erase(e.forwarder), sent_.erase(e.forwarder), care_.erase(e.forwarder);
     found_.erase(e.forwarder);
     note(Note::Weight::info, "forwarder_left", {{"forwarder", proxy_name(e.forwarder)}});
@@ -247,8 +247,9 @@
   }
   int tries = 0;
   for (const auto& row : e.rows) tries += row.tries;
-  retries_.met(now_, e.forwarder, tries - e.further, e.further);
-  for (const auto& [operation, n] : e.arrived) limit_.arrived(e.forwarder, operation, n, s_.report_every);
+  retries_.record_tries(now_, e.forwarder, tries - e.further, e.further);
+  for (const auto& [operation, n] : e.arrived)
+    limit_.record_arrivals(e.forwarder, operation, n, s_.report_every);
 }
 
 void Coordinator::absorb(const ForwarderHolds& e) {
@@ -518,15 +519,15 @@
       part.lines.push_back({id, row->second.entry.name, row->second.entry.at, weight, !warm(row->second)});
     }
     if (k < table.levels.size()) part.level = table.levels[k];
-    part.level.tries = limits::allowed(s_.operations[k].effect, part.level.tries);
+    part.level.tries = limits::allowed_retries(s_.operations[k].effect, part.level.tries);
     // Between two that lead it nobody can tell what is still being tried: no further tries till that is over.
     if (care_.contains(forwarder)) part.level.tries = FurtherTries::none;
     if (const auto it = parts_.find({forwarder, op_at(k)}); it != parts_.end()) part.rate = it->second;
     wanted->parts.push_back(std::move(part));
   }
   if (s_.retry_share > 0) {
-    const auto part = retries_.parts().find(forwarder);
-    wanted->retries = part == retries_.parts().end() ? s_.retry_share : part->second;
+    const auto part = retries_.allocations().find(forwarder);
+    wanted->retries = part == retries_.allocations().end() ? s_.retry_share : part->second;
   }
   for (const auto& [id, row] : rows_)
     if (row.listed) wanted->known.push_back(row.entry.name);
@@ -535,7 +536,7 @@
 
 // The fleet's limit, dealt anew after each round; who is to be told goes with the next delivery.
 void Coordinator::share_limits() {
-  auto fresh = limit_.parts();
+  auto fresh = limit_.allocations();
   std::set<ProxyId> moved;
   const auto differs = [](double a, double b) {
     return std::abs(a - b) > 0.1 * std::max(a, b);
@@ -560,8 +561,8 @@
 void Coordinator::deal_retries() {
   // Every delivery carries the part of its moment, so what stood before the deal is what was told, a recalled
   // part too.
-  const auto before = retries_.parts();
-  for (const auto& [proxy, part] : retries_.deal(now_)) {
+  const auto before = retries_.allocations();
+  for (const auto& [proxy, part] : retries_.allocate(now_)) {
     const auto was = before.find(proxy);
     if (part == (was == before.end() ? s_.retry_share : was->second)) continue;
     const auto held = channel_.in_force().find(proxy);
--- a/src/coordinator/coordinator.hpp
+++ b/src/coordinator/coordinator.hpp
@@ -17,7 +17,7 @@
 #include "coordinator/groups.hpp"
 #include "coordinator/persons.hpp"
 #include "coordinator/types.hpp"
-#include "limits/fleet_limit.hpp"
+#include "limits/fleet_rate_limit.hpp"
 #include "limits/retry_budget.hpp"
 #include "spill/spill.hpp"
 
@@ -225,8 +225,8 @@
   std::optional<Instant> person_next_;
   bool hold_ = false;
   std::optional<Instant> hold_ordered_;
-  limits::FleetLimit limit_;
-  limits::FleetLimit::Parts parts_;
+  limits::FleetRateLimit limit_;
+  limits::FleetRateLimit::Allocations parts_;
   limits::RetryBudget retries_;
   std::uint64_t table_version_ = 0, view_version_ = 0, publish_version_ = 0;
   bool listed_once_ = false, dirty_ = true;
--- a/src/coordinator/remember.cpp
+++ b/src/coordinator/remember.cpp
@@ -108,7 +108,7 @@
       all[{Kind::group_seen, proxy_name(proxy)}].times["seen"] =
           Instant{} + Span::micros(steps * kSeenNews.micros());
     }
-  for (const auto& [proxy, part] : retries_.parts())
+  for (const auto& [proxy, part] : retries_.allocations())
     if (std::abs(part - s_.retry_share) > 1e-9)
       all[{Kind::further_tries, proxy_name(proxy)}].figures["part"] = part;
   for (const auto& [proxy, version] : sent_)
@@ -213,7 +213,7 @@
         break;
       case Kind::further_tries:
         if (const auto proxy = proxy_at(name); proxy && is_forwarder(*proxy))
-          retries_.recall(*proxy, figure(f, "part", s_.retry_share));
+          retries_.restore(*proxy, figure(f, "part", s_.retry_share));
         break;
       case Kind::sent_table:
         sent[name] = static_cast<std::uint64_t>(figure(f, "version", 0));
--- a/src/lab/world/world.cpp
+++ b/src/lab/world/world.cpp
@@ -13,9 +13,9 @@
 #include "coordinator/draw.hpp"
 #include "forwarders/plan.hpp"
 #include "lab/world/worker_model.hpp"
-#include "limits/retry_meter.hpp"
+#include "limits/retry_limiter.hpp"
 #include "recovery/belief.hpp"
-#include "shared_fleet/part.hpp"
+#include "shared_fleet/cluster_adapter.hpp"
 
 namespace gorsemount::lab {
 
@@ -127,7 +127,7 @@
   std::vector<int> arrived;
   int again = 0;  // further tries since the last report
   int retries = -1;
-  limits::RetryMeter meter;
+  limits::RetryLimiter meter;
   std::optional<TroubleKind> fault;
   std::optional<Instant> unled_since;
   bool was_led = false;
@@ -157,7 +157,7 @@
   std::size_t number = 1, zone = 0;
   std::unique_ptr<Coordinator> core;
   std::unique_ptr<cluster::Cluster> cluster;
-  std::unique_ptr<shared_fleet::Part> part;
+  std::unique_ptr<shared_fleet::ClusterAdapter> part;
   bool up = false, paused = false, gathering = false;
   double rate = 1, offset = 0;
   std::vector<Input> inputs;
@@ -376,12 +376,12 @@
       for (std::size_t k = 0; k < day.coordinators.size(); ++k)
         c.members.push_back(cluster::MemberId{static_cast<std::uint16_t>(k)});
       c.shards = std::max<std::size_t>(6, fronts.size() / 12);
-      c.floor = {static_cast<std::uint64_t>(1000 + (now - begin).micros() / 1000)};
-      c.lease.length = day.lease, c.lease.drift = std::max(0.01, s.drift);
-      c.lease.renew_before = day.lease * 0.67, c.lease.ask_again = day.lease * 0.1;
+      c.term_floor = {static_cast<std::uint64_t>(1000 + (now - begin).micros() / 1000)};
+      c.lease.duration = day.lease, c.lease.max_clock_drift = std::max(0.01, s.drift);
+      c.lease.renew_before = day.lease * 0.67, c.lease.retry_interval = day.lease * 0.1;
       c.seed = s.seed * 31 + h.number;
       h.cluster = std::make_unique<cluster::Cluster>(c, local(h));
-      h.part = std::make_unique<shared_fleet::Part>(*h.cluster);
+      h.part = std::make_unique<shared_fleet::ClusterAdapter>(*h.cluster);
       after(Span{}, What::cluster_wake, index(h), ++h.cluster_wake);
       after(Span::seconds(0.25 * uniform()), What::tell, index(h), h.life);
     }
@@ -533,7 +533,7 @@
     Proxy& p = proxies[f];
     st.up = true;
     if (h.cluster && p.highest > 0)
-      h.cluster->learn(local(h), h.part->shard_of(proxy_id(h, f), h.core->settings()), {p.highest});
+      h.cluster->observe_term(local(h), h.part->shard_of(proxy_id(h, f), h.core->settings()), {p.highest});
     if (st.term && s.fences) p.highest = std::max(p.highest, *st.term);
     out.takeovers += st.taken_over ? 1 : 0;
     std::map<std::string, double> holds;
@@ -546,7 +546,7 @@
   void advance(Host& h, std::size_t f) {
     Stream& st = h.streams[f];
     if (!st.up || !st.wanted || st.busy) return;
-    if (h.cluster && !h.cluster->leads(h.part->shard_of(proxy_id(h, f), h.core->settings()), local(h)))
+    if (h.cluster && !h.cluster->held_term(h.part->shard_of(proxy_id(h, f), h.core->settings()), local(h)))
       return;
     // The driver knows what the forwarder holds from its answers; the plan is made once for equal ones.
     if (!(way_wanted == st.wanted && way_from == proxies[f].held))
@@ -617,23 +617,24 @@
   void tick_cluster(Host& h) {
     for (auto& m : h.cluster->tick(local(h))) {
       const std::size_t to = m.to.value;
-      out.cluster_bytes +=
-          80 + 11 * m.rumours.size() +
-          (std::holds_alternative<cluster::News>(m.body) ? std::get<cluster::News>(m.body).facts.size() : 0);
+      out.cluster_bytes += 80 + 11 * m.updates.size() +
+                           (std::holds_alternative<cluster::ReplicationBatch>(m.body)
+                                ? std::get<cluster::ReplicationBatch>(m.body).facts.size()
+                                : 0);
       if (cut_hosts.contains({index(h), to}) || (loss > 0 && uniform() < loss)) continue;
       const std::uint32_t n = ++message_number;
       messages[n] = std::move(m);
       const double wait = 0.0005 + 0.002 * uniform() + (slow_hosts.contains({index(h), to}) ? 0.2 : 0);
       after(Span::seconds(wait), What::message, static_cast<std::uint32_t>(to), n);
     }
-    follow(h, h.part->look(local(h), h.core->settings()));
+    follow(h, h.part->poll_leadership(local(h), h.core->settings()));
     const Instant wake = truth(h, h.cluster->wake_at());
     at(std::max(now + Span::seconds(0.005), std::min(wake, now + Span::seconds(0.05))), What::cluster_wake,
        index(h), ++h.cluster_wake);
   }
-  void follow(Host& h, shared_fleet::Turn turn) {
+  void follow(Host& h, shared_fleet::ClusterUpdate turn) {
     for (auto& input : turn.inputs) give(h, std::move(input));
-    for (const auto& lead : turn.leads) {
+    for (const auto& lead : turn.lead_changes) {
       const std::size_t f = front_of(h, lead.forwarder);
       if (h.streams[f].up || lead.before) close_stream(h, f);
       if (lead.now) open_stream(h, f, lead.now->value, true);
@@ -786,7 +787,7 @@
     at(now + std::max(Span::seconds(0.001), std::min(left, op.integration_timeout * kGiveUp)),
        What::wait_over, n, inv.round);
     if (!admitted(p, inv.operation)) return done(n, End::limited);
-    p.meter.first(now);
+    p.meter.record_first_try(now);
     forward(n);
   }
   bool admitted(Proxy& p, std::size_t op) {
@@ -936,7 +937,8 @@
   bool led(std::uint32_t f) {
     for (auto& h : hosts)
       if (h.up && !h.paused && h.streams[f].up &&
-          (!h.cluster || h.cluster->leads(h.part->shard_of(proxy_id(h, f), h.core->settings()), local(h)))) {
+          (!h.cluster ||
+           h.cluster->held_term(h.part->shard_of(proxy_id(h, f), h.core->settings()), local(h)))) {
         if (auto& since = proxies[f].unled_since; since)
           out.unled.push_back((now - *since).seconds()), since.reset();
         proxies[f].was_led = true;
@@ -1000,7 +1002,8 @@
     const int most = how == 0 ? 1 : how == 3 ? 3 : 2;
     const bool proof = reply == Reply::refused;
     const bool may = how > 0 && inv.inner < most && (proof || (how >= 2 && op.may_repeat()));
-    if (may && (now - inv.forwarded) < op.integration_timeout * kFurther && p.meter.again(now, p.retries)) {
+    if (may && (now - inv.forwarded) < op.integration_timeout * kFurther &&
+        p.meter.allow_retry(now, p.retries)) {
       ++p.again;
       return forward(n);
     }
@@ -1228,7 +1231,8 @@
       for (auto& h : hosts) {
         if (!h.up || fronts.empty()) continue;
         for (std::size_t k = 0; k < h.cluster->shards(); ++k)
-          leaders[k] += h.cluster->leads(cluster::ShardId{static_cast<std::uint16_t>(k)}, local(h)) ? 1 : 0;
+          leaders[k] +=
+              h.cluster->held_term(cluster::ShardId{static_cast<std::uint16_t>(k)}, local(h)) ? 1 : 0;
       }
       for (const auto& [shard, n] : leaders) out.two_led += n > 1 ? 1 : 0;
     }
@@ -1393,7 +1397,7 @@
       case What::tell: {
         if (h->life != e.b) return;
         bool changed = false;
-        follow(*h, h->part->tell(local(*h), *h->core, changed));
+        follow(*h, h->part->exchange_facts(local(*h), *h->core, changed));
         if (changed) tick_cluster(*h);
         return after(kTellCluster, What::tell, e.a, e.b);
       }
--- a/src/shared_fleet/part.cpp
+++ b/src/shared_fleet/cluster_adapter.cpp
@@ -1,4 +1,4 @@
-#include "shared_fleet/part.hpp"
+#include "shared_fleet/cluster_adapter.hpp"
 
 #include <utility>
 
@@ -9,13 +9,13 @@
 using coordinator::is_forwarder;
 using coordinator::kFirstForwarder;
 
-cluster::ShardId Part::shard_of(ProxyId proxy, const coordinator::Settings& s) const {
+cluster::ShardId ClusterAdapter::shard_of(ProxyId proxy, const coordinator::Settings& s) const {
   return cluster_->shard_of(is_forwarder(proxy) ? s.forwarders[proxy.value - kFirstForwarder].name
                                                 : s.groups[proxy.value].name);
 }
 
 // What the others knew, once for each moment in which something is taken over, and before it is.
-void Part::recall(Instant now, Turn& turn) {
+void ClusterAdapter::recall(Instant now, ClusterUpdate& turn) {
   if (turn.recalled > 0) return;
   auto facts = cluster_->knowledge().believed(now);
   if (facts.empty()) return;
@@ -23,11 +23,11 @@
   turn.inputs.insert(turn.inputs.begin(), coordinator::Recalled{std::move(facts)});
 }
 
-Turn Part::look(Instant now, const coordinator::Settings& s) {
-  Turn turn;
+ClusterUpdate ClusterAdapter::poll_leadership(Instant now, const coordinator::Settings& s) {
+  ClusterUpdate turn;
   for (std::size_t k = 0; k < s.groups.size(); ++k) {
     const ProxyId id{static_cast<std::uint16_t>(k)};
-    const bool here = cluster_->leads(shard_of(id, s), now).has_value();
+    const bool here = cluster_->held_term(shard_of(id, s), now).has_value();
     const auto was = groups_.find(id);
     if (was != groups_.end() && was->second == here) continue;
     groups_[id] = here;
@@ -36,18 +36,19 @@
   }
   for (std::size_t k = 0; k < s.forwarders.size(); ++k) {
     const ProxyId id{static_cast<std::uint16_t>(kFirstForwarder + k)};
-    const auto term = cluster_->leads(shard_of(id, s), now);
+    const auto term = cluster_->held_term(shard_of(id, s), now);
     auto& was = led_[id];
     if (was == term) continue;
     if (term) recall(now, turn);
-    turn.leads.push_back({id, term, was});
+    turn.lead_changes.push_back({id, term, was});
     was = term;
   }
   return turn;
 }
 
-Turn Part::tell(Instant now, const coordinator::Coordinator& core, bool& changed) {
-  Turn turn;
+ClusterUpdate ClusterAdapter::exchange_facts(Instant now, const coordinator::Coordinator& core,
+                                             bool& changed) {
+  ClusterUpdate turn;
   auto& knowledge = cluster_->knowledge();
   changed = knowledge.observe(now, core.facts()) > 0;
   cluster_->keep(core.zone_moves());
--- a/tests/forwarders/plan_test.cpp
+++ b/tests/forwarders/plan_test.cpp
@@ -4,7 +4,7 @@
 #include <random>
 #include <set>
 
-#include "limits/fleet_limit.hpp"
+#include "limits/fleet_rate_limit.hpp"
 #include "runtime_api/codec.hpp"
 
 namespace gorsemount::forwarders {
@@ -243,15 +243,15 @@
   EXPECT_EQ(std::get<Reading>(without).further.at("read"), 0U) << "a proxy that does not tell";
 }
 
-TEST(FleetLimit, SharesTheRateByWhatCameAndTheCheapestGoesFirst) {
-  limits::FleetLimit limit{100, {{OperationId{0}, 1, 1}, {OperationId{1}, 3, 1}}};
-  for (const std::uint16_t f : {0, 1, 2}) limit.joined(ProxyId{f});
-  limit.arrived(ProxyId{0}, OperationId{0}, 30, Span::seconds(1));
-  EXPECT_TRUE(limit.parts().empty()) << "room for all";
-  limit.arrived(ProxyId{0}, OperationId{0}, 80, Span::seconds(1));
-  limit.arrived(ProxyId{0}, OperationId{1}, 40, Span::seconds(1));
-  limit.arrived(ProxyId{1}, OperationId{1}, 40, Span::seconds(1));
-  const auto parts = limit.parts();
+TEST(FleetRateLimit, SharesTheRateByWhatCameAndTheCheapestGoesFirst) {
+  limits::FleetRateLimit limit{100, {{OperationId{0}, 1, 1}, {OperationId{1}, 3, 1}}};
+  for (const std::uint16_t f : {0, 1, 2}) limit.add_forwarder(ProxyId{f});
+  limit.record_arrivals(ProxyId{0}, OperationId{0}, 30, Span::seconds(1));
+  EXPECT_TRUE(limit.allocations().empty()) << "room for all";
+  limit.record_arrivals(ProxyId{0}, OperationId{0}, 80, Span::seconds(1));
+  limit.record_arrivals(ProxyId{0}, OperationId{1}, 40, Span::seconds(1));
+  limit.record_arrivals(ProxyId{1}, OperationId{1}, 40, Span::seconds(1));
+  const auto parts = limit.allocations();
   double sum = 0;
   std::map<std::uint8_t, double> by_op;
   for (const auto& [key, part] : parts) sum += part, by_op[key.second.value] += part;
@@ -259,8 +259,8 @@
   EXPECT_NEAR(by_op[1], 80, 1e-6) << "the dearest is met whole";
   EXPECT_NEAR(by_op[0], 20, 1e-6);
   EXPECT_GT((parts.at({ProxyId{2}, OperationId{1}})), 0) << "one that nobody asked yet has a line at once";
-  limit.left(ProxyId{0});
-  EXPECT_TRUE(limit.parts().empty());
+  limit.remove_forwarder(ProxyId{0});
+  EXPECT_TRUE(limit.allocations().empty());
 }
 
 }  // namespace
