--- a/src/cluster/cluster.hpp
+++ b/src/cluster/cluster.hpp
@@ -1,4 +1,4 @@
-// One controller's part in a shared fleet: membership and leases together, and which shard a forwarder is in.
+// One coordinator's membership, leases and replication in a cluster, and which shard a forwarder belongs to.
 #pragma once
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 
 struct ClusterSettings {
   MemberId self;
-  std::vector<MemberId> members;  // all of them
+  std::vector<MemberId> members;  // all of them, including self
   std::size_t shards = 8;
   MembershipSettings membership;
   LeaseSettings lease;
@@ -25,7 +25,7 @@
   Cluster(ClusterSettings settings, Instant now)
       : shards_{settings.shards},
         membership_{settings.self, settings.members, settings.membership, settings.seed, now},
-        leases_{settings.self, settings.members,   settings.shards, with_members(settings),
+        leases_{settings.self, settings.members,   settings.shards, lease_settings(settings),
                 now,           settings.term_floor},
         replication_{settings.self, settings.members, settings.term_floor.value} {}
 
@@ -35,13 +35,13 @@
     replication_.receive(now, message);
   }
   [[nodiscard]] std::vector<Message> tick(Instant now) {
-    auto out = membership_.tick(now);
-    for (auto& m : leases_.tick(now, membership_.alive())) {
-      m.updates = membership_.updates();
-      out.push_back(std::move(m));
+    auto messages = membership_.tick(now);
+    for (auto& message : leases_.tick(now, membership_.alive())) {
+      message.updates = membership_.updates();
+      messages.push_back(std::move(message));
     }
-    for (auto& m : replication_.tick(now)) out.push_back(std::move(m));
-    return out;
+    for (auto& message : replication_.tick(now)) messages.push_back(std::move(message));
+    return messages;
   }
   [[nodiscard]] Instant wake_at() const {
     return std::min({membership_.wake_at(), leases_.wake_at(), replication_.wake_at()});
@@ -53,17 +53,17 @@
   }
   [[nodiscard]] std::size_t shards() const { return shards_; }
   [[nodiscard]] MemberState state_of(MemberId member) const { return membership_.state_of(member); }
-  void keep(bool on) { leases_.keep(on); }
-  [[nodiscard]] Replication& knowledge() { return replication_; }
-  [[nodiscard]] const Replication& knowledge() const { return replication_; }
+  void suspend_rebalancing(bool on) { leases_.suspend_rebalancing(on); }
+  [[nodiscard]] Replication& replication() { return replication_; }
+  [[nodiscard]] const Replication& replication() const { return replication_; }
   void observe_term(Instant now, ShardId shard, Term term) { leases_.observe_term(now, shard, term); }
-  // Everything that it leads, to whoever is next; for a planned stop. Returns how many shards that were.
+  // Releases every lease that this member holds, for a planned stop. Returns how many there were.
   std::size_t hand_over_all(Instant now);
 
  private:
-  static LeaseSettings with_members(const ClusterSettings& s) {
-    LeaseSettings lease = s.lease;
-    lease.members = s.members.size();
+  static LeaseSettings lease_settings(const ClusterSettings& settings) {
+    LeaseSettings lease = settings.lease;
+    lease.cluster_size = settings.members.size();
     return lease;
   }
   std::size_t shards_;
--- a/src/cluster/leases.hpp
+++ b/src/cluster/leases.hpp
@@ -1,7 +1,7 @@
-// Decides who leads a shard: a lease of stated length, granted by a majority of all members by the settings
-// (not of those that seem alive), with a term that only grows. What makes it safe is time at both ends: a
-// leader reckons its lease from when it asked, shortened by the drift; a voter keeps its word from when it
-// granted, lengthened by it. docs/takeover.md has the argument.
+// Decides who leads a shard: a lease of a fixed duration, granted by a majority of all configured members
+// (not only of those that seem alive), under a term that only grows. Both ends allow for clock drift: a
+// leader counts its lease from when it sent the request and shortens it by the drift, a voter counts its
+// promise from when it granted and lengthens it by the drift. docs/takeover.md has the argument.
 #pragma once
 
 #include <map>
@@ -15,46 +15,48 @@
 
 struct LeaseSettings {
   Span duration = Span::seconds(3);
-  double max_clock_drift = 0.01;         // how far any two clocks' rates may be apart
-  Span renew_before = Span::seconds(2);  // the end: asked for again from then on
+  double max_clock_drift = 0.01;         // largest relative difference between the rates of any two clocks
+  Span renew_before = Span::seconds(2);  // remaining time at which a leader starts to renew
   Span retry_interval = Span::seconds(0.3);
-  std::size_t members = 1;  // by the settings; a majority is of these
+  std::size_t cluster_size = 1;  // configured members; a majority is counted against this
 };
 
-// Which member is to lead a shard among those alive: rendezvous hashing, so that a member's going moves its
-// own shards and no others.
-[[nodiscard]] MemberId preferred(ShardId shard, const std::vector<MemberId>& alive);
-// The same with at most one shard more than its part for each member; what is over goes to the next
-// preferred.
-[[nodiscard]] std::map<ShardId, MemberId> assignment(std::size_t shards, const std::vector<MemberId>& alive);
+// Which of the members alive should lead a shard. Uses rendezvous hashing, so that only the shards of a
+// member that leaves move.
+[[nodiscard]] MemberId preferred_leader(ShardId shard, const std::vector<MemberId>& alive);
+// Assigns every shard its preferred leader, except that no member gets more than one shard above an even
+// share; excess shards go to the member with the next highest hash.
+[[nodiscard]] std::map<ShardId, MemberId> assign_leaders(std::size_t shards,
+                                                         const std::vector<MemberId>& alive);
 
 class Leases {
  public:
-  // `floor`: no term of its own is at or below it. It comes from what outlives the process, or from the wall
+  // `term_floor`: every term of this member is above it. It comes from persistent state or from the wall
   // clock (milliseconds, far ahead of any count of elections), so that terms grow even if all members restart
-  // at once; observe_term() mends a clock that went back. A voter that starts grants nothing for a lease's
-  // length, since it may have given its word to somebody before.
+  // at once; observe_term() corrects for a wall clock that was set back. A voter grants nothing for one lease
+  // duration after it starts, since it may have made a promise before its restart.
   Leases(MemberId self, std::vector<MemberId> others, std::size_t shards, LeaseSettings settings, Instant now,
          Term term_floor);
 
-  // A forwarder has seen this term: nothing lower will be obeyed, so a leader with a lower one stands back
-  // and is elected anew above it.
+  // Notes that a forwarder has seen this term. The forwarder rejects lower terms, so a leader with a lower
+  // one gives up its lease and seeks election under a higher term.
   void observe_term(Instant now, ShardId shard, Term term);
 
   void receive(Instant now, const Message& message);
-  // `alive`: as the membership has it. Messages to send.
+  // Returns the messages to send. `alive`: from the membership.
   [[nodiscard]] std::vector<Message> tick(Instant now, const std::vector<MemberId>& alive);
   [[nodiscard]] Instant wake_at() const;
 
-  // The term with which it may order now; empty: it may not. A process that stood still finds out here, since
-  // the time is asked for with each order.
+  // The term under which this member may issue commands now; empty if it holds no valid lease. Called with
+  // the current time before each command, so that a process that was paused finds its lease expired.
   [[nodiscard]] std::optional<Term> held_term(ShardId shard, Instant now) const;
-  [[nodiscard]] Term highest(ShardId shard) const;
-  // Hands a shard over: it orders nothing more in it from now on, and leaves it to `to` for a while.
+  [[nodiscard]] Term highest_term(ShardId shard) const;
+  // Releases the lease of a shard in favour of `to`: issues no further commands in the shard, and doesn't
+  // seek election there for a while.
   void hand_over(Instant now, ShardId shard, std::optional<MemberId> to);
-  // While on, no shard changes hands for the sake of balance; for zones that are being drained. Off, one a
-  // lease's length does.
-  void keep(bool on) { keep_ = on; }
+  // While on, no shard moves for balance, so that zone drains are not disturbed. Otherwise one shard may move
+  // per lease duration.
+  void suspend_rebalancing(bool on) { rebalancing_suspended_ = on; }
 
  private:
   struct Promise {  // as a voter
@@ -62,37 +64,37 @@
     MemberId holder;
     Instant until;
   };
-  struct Held {  // as a leader
+  struct HeldLease {  // as a leader
     Term term;
     Instant until;
   };
-  struct Asking {
+  struct VoteRound {
     Term term;
-    std::uint64_t number = 0;
-    Instant sent, again;
+    std::uint64_t request_id = 0;
+    Instant sent, retry_at;
     std::set<MemberId> granted;
     bool renewal = false;
   };
   void send(MemberId to, Body body);
   [[nodiscard]] bool grant(Instant now, ShardId shard, Term term, MemberId to);
-  void won(ShardId shard, const Asking& asking);
-  void ask(Instant now, ShardId shard, bool renewal);
+  void acquire(ShardId shard, const VoteRound& round);
+  void start_vote_round(Instant now, ShardId shard, bool renewal);
 
   MemberId self_;
-  std::vector<MemberId> others_;
+  std::vector<MemberId> peers_;
   std::size_t shards_;
-  LeaseSettings s_;
-  Instant silent_until_;
-  std::uint64_t number_ = 0;
-  bool keep_ = false;
+  LeaseSettings settings_;
+  Instant no_votes_before_;
+  std::uint64_t last_request_id_ = 0;
+  bool rebalancing_suspended_ = false;
   std::map<ShardId, Promise> promises_;
-  std::map<ShardId, Held> held_;
-  std::map<ShardId, Asking> asking_;
-  std::map<ShardId, Term> highest_;
-  Instant next_move_;                                                      // for balance
-  std::map<ShardId, std::pair<std::optional<MemberId>, Instant>> handed_;  // to whom, and for how long
-  std::vector<Message> out_;
-  Instant wake_;
+  std::map<ShardId, HeldLease> held_leases_;
+  std::map<ShardId, VoteRound> vote_rounds_;
+  std::map<ShardId, Term> highest_terms_;
+  Instant next_rebalance_;
+  std::map<ShardId, std::pair<std::optional<MemberId>, Instant>> handed_over_;  // to whom, and until when
+  std::vector<Message> outbox_;
+  Instant wake_at_;
 };
 
 }  // namespace gorsemount::cluster
--- a/src/cluster/membership.hpp
+++ b/src/cluster/membership.hpp
@@ -1,6 +1,6 @@
-// Decides who is alive: each member pings another in turn; one that does not answer is asked for by others,
-// so that one bad path condemns nobody; then it is suspected, and gone unless it speaks up with a new
-// incarnation.
+// Decides which members are alive, by the SWIM protocol: each member pings the others in turn. If one does
+// not answer, other members ping it too, so that a single failed path marks nobody as gone. Without any
+// answer it is suspected, and after a timeout gone unless it refutes that with a new incarnation.
 #pragma once
 
 #include <map>
@@ -13,10 +13,10 @@
 namespace gorsemount::cluster {
 
 struct MembershipSettings {
-  Span ping_every = Span::seconds(0.2);
-  Span answer_within = Span::seconds(0.08);  // then others are asked
-  int helpers = 3;
-  int suspect_rounds = 4;  // times ping_every times the log of the size
+  Span ping_interval = Span::seconds(0.2);
+  Span ping_timeout = Span::seconds(0.08);  // before other members are asked to ping
+  int relays = 3;                           // members that are asked
+  int suspicion_multiplier = 4;  // the suspicion timeout is this times ping_interval times log2 of the size
 };
 
 class Membership {
@@ -25,55 +25,55 @@
              Instant now);
 
   void receive(Instant now, const Message& message);
-  // What is due; call it by wake_at() and after each receive(). Messages to send.
+  // Does what is due and returns the messages to send. To be called at wake_at() and after each receive().
   [[nodiscard]] std::vector<Message> tick(Instant now);
   [[nodiscard]] Instant wake_at() const;
 
   [[nodiscard]] MemberState state_of(MemberId member) const;
-  [[nodiscard]] std::vector<MemberId> alive() const;  // self among them, sorted
+  [[nodiscard]] std::vector<MemberId> alive() const;  // sorted, including self
   [[nodiscard]] std::uint64_t incarnation() const { return incarnation_; }
-  // Rumours to put on another module's message.
+  // Gossip to piggyback on another module's message.
   [[nodiscard]] std::vector<MemberUpdate> updates();
-  void hear(Instant now, const std::vector<MemberUpdate>& updates);
+  void apply_updates(Instant now, const std::vector<MemberUpdate>& updates);
 
-  // The list of members itself changes by the settings only.
+  // Replaces the configured list of members; gossip never adds or removes one.
   void set_members(Instant now, std::vector<MemberId> others);
 
  private:
-  struct Row {
-    MemberState standing = MemberState::alive;
+  struct MemberRecord {
+    MemberState state = MemberState::alive;
     std::uint64_t incarnation = 0;
-    Instant since;
-    int tells = 0;  // how often its rumour is still to be told
+    Instant changed_at;
+    int retransmits_left = 0;  // how often its update is still to be sent
   };
   struct Probe {
-    MemberId of;
-    std::uint64_t number = 0;
-    Instant sent, ends;
-    bool helped = false;
+    MemberId target;
+    std::uint64_t request_id = 0;
+    Instant sent, deadline;
+    bool indirect_sent = false;
   };
-  struct Errand {  // a ping that somebody else asked for
-    MemberId whose;
-    std::uint64_t their_number = 0, number = 0;
+  struct RelayedPing {  // a ping sent on request of another member
+    MemberId requester;
+    std::uint64_t requester_request_id = 0, request_id = 0;
     Instant until;
   };
   void send(MemberId to, Body body);
-  void say(MemberId member);  // its rumour goes round anew
-  [[nodiscard]] int tellings() const;
-  [[nodiscard]] Span patience() const;
+  void queue_update(MemberId member);  // gossips its state from the start again
+  [[nodiscard]] int retransmit_limit() const;
+  [[nodiscard]] Span suspicion_timeout() const;
 
   MemberId self_;
-  MembershipSettings s_;
-  std::mt19937 chance_;
-  std::uint64_t incarnation_ = 1, number_ = 0;
-  int self_tells_ = 0;
-  std::map<MemberId, Row> rows_;
-  std::vector<MemberId> order_;  // of this round's pings, drawn anew for each
-  std::size_t next_ = 0;
+  MembershipSettings settings_;
+  std::mt19937 rng_;
+  std::uint64_t incarnation_ = 1, last_request_id_ = 0;
+  int self_retransmits_left_ = 0;
+  std::map<MemberId, MemberRecord> records_;
+  std::vector<MemberId> ping_order_;  // shuffled for each round
+  std::size_t next_index_ = 0;
   Instant next_ping_;
   std::optional<Probe> probe_;
-  std::vector<Errand> errands_;
-  std::vector<Message> out_;
+  std::vector<RelayedPing> relayed_pings_;
+  std::vector<Message> outbox_;
 };
 
 }  // namespace gorsemount::cluster
--- a/src/cluster/replication.cpp
+++ b/src/cluster/replication.cpp
@@ -13,166 +13,172 @@
 
 namespace {
 
-constexpr std::size_t kBatch = 32;  // facts that are tried to be put into one message
-const Span kFollow =
-    Span::seconds(3);  // a leader that was not heard for that long is not followed: six beats
+constexpr std::size_t kMaxBatchEntries = 32;   // before the limit in bytes applies
+const Span kLeaderTimeout = Span::seconds(3);  // six heartbeats without contact
 
-std::int64_t micros(Instant t) { return (t - Instant{}).micros(); }
+std::int64_t micros(Instant time) { return (time - Instant{}).micros(); }
 
 }  // namespace
 
-Replication::Replication(MemberId self, std::vector<MemberId> others, std::uint64_t start,
+Replication::Replication(MemberId self, std::vector<MemberId> others, std::uint64_t generation,
                          ReplicationSettings settings)
-    : self_{self}, s_{settings}, start_{std::max<std::uint64_t>(start, 1)} {
+    : self_{self}, settings_{settings}, generation_{std::max<std::uint64_t>(generation, 1)} {
   for (const auto other : others)
-    if (other != self_) peers_[other], copies_[other];
+    if (other != self_) peers_[other], replicas_[other];
 }
 
 std::size_t Replication::observe(Instant now, const recovery::Facts& present) {
-  const auto wrote = own_.observe(now, present);
-  std::uint64_t all = own_.last();
-  for (const auto& [member, peer] : peers_) all = std::min(all, peer.acked);
-  own_.forget_gone(now, all);
-  return wrote;
+  const auto changed = fact_log_.observe(now, present);
+  std::uint64_t acked_by_all = fact_log_.last();
+  for (const auto& [member, peer] : peers_) acked_by_all = std::min(acked_by_all, peer.acked);
+  fact_log_.forget_gone(now, acked_by_all);
+  return changed;
 }
 
 void Replication::send(MemberId to, Body body) {
-  Message& m = out_.emplace_back();
-  m.from = self_, m.to = to, m.body = std::move(body);
+  Message& message = outbox_.emplace_back();
+  message.from = self_, message.to = to, message.body = std::move(body);
 }
 
-void Replication::tell(Instant now, MemberId to, Peer& peer) {
-  ReplicationBatch news{start_, peer.acked, peer.acked, own_.last(), peer.echo, {}};
-  auto entries = own_.after(peer.acked, kBatch);
+void Replication::send_batch(Instant now, MemberId to, Peer& peer) {
+  ReplicationBatch batch{generation_, peer.acked, peer.acked, fact_log_.last(), peer.echoed_clock, {}};
+  auto entries = fact_log_.after(peer.acked, kMaxBatchEntries);
   while (!entries.empty()) {
-    news.facts = recovery::encode(entries, now);
-    if (news.facts.size() <= s_.bytes) break;
+    batch.facts = recovery::encode(entries, now);
+    if (batch.facts.size() <= settings_.max_batch_bytes) break;
     if (entries.size() == 1) {
-      // A fact that fits into no message is passed over, and that is counted; nothing else waits behind it.
-      ++counters_.too_large;
-      news.facts.clear();
+      // A fact too large for any message is skipped and counted, so that it doesn't block the ones behind it.
+      ++counters_.oversized;
+      batch.facts.clear();
       break;
     }
     entries.resize(entries.size() / 2);
   }
-  if (!entries.empty()) news.upto = entries.back().sequence;
-  // The end of the log may be of entries that were compacted away.
-  if (own_.after(news.upto, 1).empty()) news.upto = own_.last();
-  peer.underway = news.upto, peer.again = now + s_.again, peer.beat = now + s_.beat;
-  ++counters_.told;
-  send(to, std::move(news));
+  if (!entries.empty()) batch.up_to = entries.back().sequence;
+  // The last sequences may belong to entries that were compacted away.
+  if (fact_log_.after(batch.up_to, 1).empty()) batch.up_to = fact_log_.last();
+  peer.in_flight = batch.up_to, peer.retransmit_at = now + settings_.retransmit_interval,
+  peer.heartbeat_at = now + settings_.heartbeat_interval;
+  ++counters_.sent;
+  send(to, std::move(batch));
 }
 
 std::vector<Message> Replication::tick(Instant now) {
   for (auto& [member, peer] : peers_) {
-    const bool waiting = peer.underway > peer.acked && now < peer.again;
-    if ((peer.acked < own_.last() && !waiting) || now >= peer.beat) tell(now, member, peer);
+    const bool waiting = peer.in_flight > peer.acked && now < peer.retransmit_at;
+    if ((peer.acked < fact_log_.last() && !waiting) || now >= peer.heartbeat_at)
+      send_batch(now, member, peer);
   }
-  return std::exchange(out_, {});
+  return std::exchange(outbox_, {});
 }
 
 Instant Replication::wake_at() const {
   Instant next = Instant{} + Span::micros(INT64_MAX);
   for (const auto& [member, peer] : peers_) {
-    next = std::min(next, peer.beat);
-    if (peer.acked < own_.last()) next = std::min(next, peer.again);
+    next = std::min(next, peer.heartbeat_at);
+    if (peer.acked < fact_log_.last()) next = std::min(next, peer.retransmit_at);
   }
   return next;
 }
 
-void Replication::take(Instant now, MemberId from, const ReplicationBatch& news) {
-  Copy& copy = copies_.at(from);
-  const auto answer = [&] { send(from, Heard{copy.start, copy.upto, micros(now)}); };
-  if (news.start < copy.start) return;  // of a life that is over
-  if (news.start > copy.start) copy = {}, copy.start = news.start;
-  // A process that stood still, or a path that holds things back: what it says may long be otherwise. The
-  // answer tells the sender our clock, and the next word can be bounded.
-  if (news.echo == 0 || now - (Instant{} + Span::micros(news.echo)) > s_.late) {
-    counters_.late += news.echo == 0 ? 0 : 1;
-    return answer();
+void Replication::apply_batch(Instant now, MemberId from, const ReplicationBatch& batch) {
+  Replica& replica = replicas_.at(from);
+  const auto acknowledge = [&] {
+    send(from, ReplicationAck{replica.generation, replica.up_to, micros(now)});
+  };
+  if (batch.generation < replica.generation) return;  // from before a restart of the sender
+  if (batch.generation > replica.generation) replica = {}, replica.generation = batch.generation;
+  // Rejects a batch of unknown or excessive age, as from a paused process or a congested path: its facts may
+  // no longer hold. The acknowledgement carries the local clock, so that the age of the next batch is
+  // bounded.
+  if (batch.echoed_clock == 0 || now - (Instant{} + Span::micros(batch.echoed_clock)) > settings_.max_age) {
+    counters_.stale += batch.echoed_clock == 0 ? 0 : 1;
+    return acknowledge();
   }
-  if (news.from != copy.upto || news.upto < news.from || news.last < news.upto) return answer();
-  if (!news.facts.empty()) {
-    auto read = recovery::decode(news.facts, now);
-    if (std::holds_alternative<std::string>(read)) {
-      ++counters_.garbled;
+  if (batch.from != replica.up_to || batch.up_to < batch.from || batch.last < batch.up_to)
+    return acknowledge();
+  if (!batch.facts.empty()) {
+    auto decoded = recovery::decode(batch.facts, now);
+    if (std::holds_alternative<std::string>(decoded)) {
+      ++counters_.malformed;
       return;
     }
-    for (auto& entry : std::get<std::vector<Entry>>(read)) {
-      news_.push_back(entry);
-      copy.known.put(std::move(entry));
-      ++counters_.taken;
+    for (auto& entry : std::get<std::vector<Entry>>(decoded)) {
+      received_.push_back(entry);
+      replica.log.put(std::move(entry));
+      ++counters_.applied;
     }
   }
-  copy.upto = news.upto, copy.last = news.last;
-  if (copy.whole())
-    copy.confirmed = std::max(copy.confirmed.value_or(Instant{}), Instant{} + Span::micros(news.echo));
-  copy.known.forget_gone(now, 0);
-  answer();
+  replica.up_to = batch.up_to, replica.last = batch.last;
+  if (replica.complete())
+    replica.confirmed =
+        std::max(replica.confirmed.value_or(Instant{}), Instant{} + Span::micros(batch.echoed_clock));
+  replica.log.forget_gone(now, 0);
+  acknowledge();
 }
 
-void Replication::receive(Instant now, const Message& m) {
-  const auto it = peers_.find(m.from);
+void Replication::receive(Instant now, const Message& message) {
+  const auto it = peers_.find(message.from);
   if (it == peers_.end()) return;
-  if (const auto* news = std::get_if<ReplicationBatch>(&m.body)) {
-    take(now, m.from, *news);
-  } else if (const auto* heard = std::get_if<Heard>(&m.body)) {
+  if (const auto* batch = std::get_if<ReplicationBatch>(&message.body)) {
+    apply_batch(now, message.from, *batch);
+  } else if (const auto* ack = std::get_if<ReplicationAck>(&message.body)) {
     Peer& peer = it->second;
-    peer.echo = std::max(peer.echo, heard->at);
-    if (heard->start != start_) {
-      peer.acked = 0, peer.beat = now;  // it knows another life of ours, or none
+    peer.echoed_clock = std::max(peer.echoed_clock, ack->clock);
+    if (ack->generation != generation_) {
+      peer.acked = 0, peer.heartbeat_at = now;  // it has a replica of another generation, or none
       return;
     }
-    if (heard->upto > own_.last()) return;
-    peer.acked = heard->upto, peer.underway = std::min(peer.underway, peer.acked);
+    if (ack->up_to > fact_log_.last()) return;
+    peer.acked = ack->up_to, peer.in_flight = std::min(peer.in_flight, peer.acked);
   }
 }
 
-std::vector<Entry> Replication::take_news() { return std::exchange(news_, {}); }
+std::vector<Entry> Replication::take_received() { return std::exchange(received_, {}); }
 
-std::vector<Entry> Replication::believed(Instant now) const {
+std::vector<Entry> Replication::trusted_entries(Instant now) const {
   std::vector<std::vector<Entry>> sources;
-  for (const auto& [member, copy] : copies_) {
-    if (!copy.confirmed) continue;
-    auto entries = copy.known.after(0);
-    // What was learned since the last whole confirmation is younger than that, and no worse.
-    for (auto& e : entries) e.learned = std::min(e.learned, *copy.confirmed);
-    sources.push_back(recovery::believe(entries, *copy.confirmed, now).acts);
+  for (const auto& [member, replica] : replicas_) {
+    if (!replica.confirmed) continue;
+    auto entries = replica.log.after(0);
+    // Entries learned after the last full confirmation are dated back to it, which is the safe side.
+    for (auto& entry : entries) entry.learned = std::min(entry.learned, *replica.confirmed);
+    sources.push_back(recovery::believe(entries, *replica.confirmed, now).acts);
   }
   return recovery::merge(std::move(sources));
 }
 
-std::optional<GroupTable> table_of(const std::map<MemberId, Replication::Copy>& copies,
-                                   const std::string& group, Instant now) {
-  const Replication::Copy* leader = nullptr;
-  const Entry* word = nullptr;
-  for (const auto& [member, copy] : copies) {
-    if (!copy.confirmed || now - *copy.confirmed > kFollow) continue;
-    const auto it = copy.known.entries().find({Kind::group_table, group});
-    if (it == copy.known.entries().end() || it->second.gone || !it->second.fact.figures.contains("table"))
+std::optional<GroupTable> leader_table(const std::map<MemberId, Replication::Replica>& replicas,
+                                       const std::string& group, Instant now) {
+  const Replication::Replica* leader = nullptr;
+  const Entry* newest = nullptr;
+  for (const auto& [member, replica] : replicas) {
+    if (!replica.confirmed || now - *replica.confirmed > kLeaderTimeout) continue;
+    const auto it = replica.log.entries().find({Kind::group_table, group});
+    if (it == replica.log.entries().end() || it->second.gone || !it->second.fact.figures.contains("table"))
       continue;
-    if (word != nullptr && word->learned >= it->second.learned) continue;
-    leader = &copy, word = &it->second;
+    if (newest != nullptr && newest->learned >= it->second.learned) continue;
+    leader = &replica, newest = &it->second;
   }
   if (leader == nullptr) return {};
-  const std::string table = std::to_string(static_cast<long>(word->fact.figures.at("table")));
-  GroupTable found;
-  const auto& entries = leader->known.entries();
+  const std::string table = std::to_string(static_cast<long>(newest->fact.figures.at("table")));
+  GroupTable result;
+  const auto& entries = leader->log.entries();
   const std::string prefix = table + "/";
   for (auto it = entries.lower_bound({Kind::table_lines, prefix});
        it != entries.end() && it->first.kind == Kind::table_lines && it->first.name.starts_with(prefix); ++it)
     if (!it->second.gone)
-      for (const auto& [backend, weight] : it->second.fact.figures) found.lines[backend] = weight;
+      for (const auto& [backend, weight] : it->second.fact.figures) result.weights[backend] = weight;
   if (const auto it = entries.find({Kind::table_levels, table}); it != entries.end() && !it->second.gone)
     for (const auto& [name, value] : it->second.fact.figures) {
       const auto at = name.find(' ');
       if (at == std::string::npos) continue;
-      auto& [tries, level] = found.levels.try_emplace(name.substr(at + 1), 1, 1.0).first->second;
+      auto& [tries, level] = result.levels.try_emplace(name.substr(at + 1), 1, 1.0).first->second;
       if (name.starts_with("tries ")) tries = static_cast<int>(std::clamp(value, 0.0, 3.0));
       if (name.starts_with("level ")) level = value;
     }
-  if (found.lines.empty()) return {};
-  return found;
+  if (result.weights.empty()) return {};
+  return result;
 }
 
 }  // namespace gorsemount::cluster
--- a/src/cluster/replication.hpp
+++ b/src/cluster/replication.hpp
@@ -1,7 +1,7 @@
-// Knowledge between controllers: each member has a log of facts and tells it to the others, who keep a copy
-// apart for each origin. The log is compacted by subject, so whoever joins or fell behind reads it from where
-// it stands and stops nobody. What took longer to come than a stated time is not taken: a copy is never
-// younger than it says.
+// Replicates facts between coordinators: each member keeps a log of its own facts and sends it to the others,
+// which keep one replica per origin. The log is compacted by subject, so a member that joins or fell behind
+// catches up from its own position without delaying the others. A batch that may have been in transit for
+// longer than a limit is rejected, so a replica is never older than it claims.
 #pragma once
 
 #include <map>
@@ -14,71 +14,72 @@
 namespace gorsemount::cluster {
 
 struct ReplicationSettings {
-  Span beat = Span::seconds(0.5);   // nothing new is said that often too: it confirms what was said
-  Span again = Span::seconds(0.4);  // what was not answered is said again
-  Span late = Span::seconds(2);     // news that may be older than this on receipt are not taken
-  std::size_t bytes = 3000;         // of facts in one message, below a frame's bound
+  // Without new facts an empty batch is sent this often, which confirms the earlier ones.
+  Span heartbeat_interval = Span::seconds(0.5);
+  Span retransmit_interval = Span::seconds(0.4);  // for batches that were not acknowledged
+  Span max_age = Span::seconds(2);     // batches that may be older than this on receipt are rejected
+  std::size_t max_batch_bytes = 3000;  // of facts in one message; has to stay below kMaxFrameBytes
 };
 
 class Replication {
  public:
-  // `start`: of this life; grows from one to the next.
-  Replication(MemberId self, std::vector<MemberId> others, std::uint64_t start,
+  // `generation`: grows with each start of this member.
+  Replication(MemberId self, std::vector<MemberId> others, std::uint64_t generation,
               ReplicationSettings settings = {});
 
-  // What this member knows now; its log becomes that. Returns how many facts changed.
+  // Brings the log of this member up to `present`. Returns how many facts changed.
   std::size_t observe(Instant now, const recovery::Facts& present);
   void receive(Instant now, const Message& message);
   [[nodiscard]] std::vector<Message> tick(Instant now);
   [[nodiscard]] Instant wake_at() const;
 
-  struct Copy {
-    std::uint64_t start = 0, upto = 0, last = 0;
-    std::optional<Instant> confirmed;  // all of it held at that time, or later
-    recovery::Knowledge known;
-    [[nodiscard]] bool whole() const { return start > 0 && upto == last; }
+  struct Replica {
+    std::uint64_t generation = 0, up_to = 0, last = 0;
+    std::optional<Instant> confirmed;  // every fact in it held at this time or later
+    recovery::Knowledge log;
+    [[nodiscard]] bool complete() const { return generation > 0 && up_to == last; }
   };
-  [[nodiscard]] const std::map<MemberId, Copy>& copies() const { return copies_; }
-  // What came in since the last call, in the order in which it came.
-  [[nodiscard]] std::vector<recovery::Entry> take_news();
-  // All that the others know and that is believed at this time, one entry a subject; for a leader that takes
-  // over.
-  [[nodiscard]] std::vector<recovery::Entry> believed(Instant now) const;
+  [[nodiscard]] const std::map<MemberId, Replica>& replicas() const { return replicas_; }
+  // Entries received since the last call, in the order of arrival.
+  [[nodiscard]] std::vector<recovery::Entry> take_received();
+  // The facts of all other members that are recent enough to be trusted now, one entry per subject; for a
+  // leader that takes over.
+  [[nodiscard]] std::vector<recovery::Entry> trusted_entries(Instant now) const;
 
   struct Counters {
-    std::uint64_t told = 0, taken = 0, late = 0, garbled = 0, too_large = 0;
+    std::uint64_t sent = 0, applied = 0, stale = 0, malformed = 0, oversized = 0;
   };
   [[nodiscard]] const Counters& counters() const { return counters_; }
 
  private:
   struct Peer {
     std::uint64_t acked = 0;
-    std::uint64_t underway = 0;  // up to where, if anything is
-    Instant again, beat;
-    std::int64_t echo = 0;
+    std::uint64_t in_flight = 0;  // last sequence sent
+    Instant retransmit_at, heartbeat_at;
+    std::int64_t echoed_clock = 0;
   };
   void send(MemberId to, Body body);
-  void tell(Instant now, MemberId to, Peer& peer);
-  void take(Instant now, MemberId from, const ReplicationBatch& news);
+  void send_batch(Instant now, MemberId to, Peer& peer);
+  void apply_batch(Instant now, MemberId from, const ReplicationBatch& batch);
 
   MemberId self_;
-  ReplicationSettings s_;
-  std::uint64_t start_;
-  recovery::Knowledge own_;
+  ReplicationSettings settings_;
+  std::uint64_t generation_;
+  recovery::Knowledge fact_log_;
   std::map<MemberId, Peer> peers_;
-  std::map<MemberId, Copy> copies_;
-  std::vector<recovery::Entry> news_;
-  std::vector<Message> out_;
+  std::map<MemberId, Replica> replicas_;
+  std::vector<recovery::Entry> received_;
+  std::vector<Message> outbox_;
   Counters counters_;
 };
 
-// What the leader of a group has it use, by the copies: of all that were confirmed lately and say that they
-// lead it, the newest word. Empty: nobody is heard.
 struct GroupTable {
-  std::map<std::string, double> lines;                   // by backend
+  std::map<std::string, double> weights;                 // by backend
   std::map<std::string, std::pair<int, double>> levels;  // tries and level, by operation
 };
-[[nodiscard]] std::optional<GroupTable> table_of(const std::map<MemberId, Replication::Copy>& copies,
-                                                 const std::string& group, Instant now);
+// The table that a group's leader uses, from the replicas: the newest among the recently confirmed members
+// that claim to lead the group. Empty if there is none.
+[[nodiscard]] std::optional<GroupTable> leader_table(const std::map<MemberId, Replication::Replica>& replicas,
+                                                     const std::string& group, Instant now);
 
 }  // namespace gorsemount::cluster
--- a/src/limits/fleet_rate_limit.cpp
+++ b/src/limits/fleet_rate_limit.cpp
@@ -6,12 +6,14 @@
 
 namespace {
 
-constexpr std::size_t kSamples = 6;  // some seconds: one quiet report must not cost a forwarder its part
-// Limits set in once demand passes this part of the rate: below it each may take all it likes, so that a
-// burst at one forwarder is not turned away while others are idle.
-constexpr double kFree = 0.9;
-// Of an operation's part, this much is dealt evenly: a forwarder that nobody asked yet has a line at once.
-constexpr double kEven = 0.1;
+// A few seconds, so that one report without arrivals costs a forwarder no allocation.
+constexpr std::size_t kMaxSamples = 6;
+// Limits apply once demand exceeds this fraction of the rate. Below it every forwarder admits freely, so that
+// a burst at one is not rejected while others are idle.
+constexpr double kEnforcementThreshold = 0.9;
+// This fraction of an operation's rate is divided evenly, so that a forwarder without traffic so far can
+// admit its first invocations.
+constexpr double kEvenFraction = 0.1;
 
 }  // namespace
 
@@ -23,50 +25,55 @@
                    });
 }
 
-void FleetRateLimit::add_forwarder(ProxyId forwarder) { came_.try_emplace(forwarder); }
-void FleetRateLimit::remove_forwarder(ProxyId forwarder) { came_.erase(forwarder); }
+void FleetRateLimit::add_forwarder(ProxyId forwarder) { arrival_rates_.try_emplace(forwarder); }
+void FleetRateLimit::remove_forwarder(ProxyId forwarder) { arrival_rates_.erase(forwarder); }
 
-void FleetRateLimit::record_arrivals(ProxyId forwarder, OperationId operation, int n, Span over) {
-  const auto row = came_.find(forwarder);
-  if (row == came_.end() || over <= Span{} || n < 0) return;
-  auto& log = row->second[operation];
-  log.push_back(n / over.seconds());
-  if (log.size() > kSamples) log.pop_front();
+void FleetRateLimit::record_arrivals(ProxyId forwarder, OperationId operation, int count, Span period) {
+  const auto entry = arrival_rates_.find(forwarder);
+  if (entry == arrival_rates_.end() || period <= Span{} || count < 0) return;
+  auto& samples = entry->second[operation];
+  samples.push_back(count / period.seconds());
+  if (samples.size() > kMaxSamples) samples.pop_front();
 }
 
-// The highest of the last samples: what came is met, as far as the rate goes.
+// The highest of the latest samples, so that allocations cover peaks as far as the rate allows.
 double FleetRateLimit::demand(ProxyId forwarder, OperationId operation) const {
-  const auto row = came_.find(forwarder);
-  if (row == came_.end()) return 0;
-  const auto it = row->second.find(operation);
-  return it == row->second.end() || it->second.empty()
+  const auto entry = arrival_rates_.find(forwarder);
+  if (entry == arrival_rates_.end()) return 0;
+  const auto it = entry->second.find(operation);
+  return it == entry->second.end() || it->second.empty()
              ? 0
              : *std::max_element(it->second.begin(), it->second.end());
 }
 
 FleetRateLimit::Allocations FleetRateLimit::allocations() const {
-  Allocations parts;
-  if (rate_ <= 0 || came_.empty()) return parts;
-  std::map<OperationId, double> wanted;
-  double all = 0;
-  for (const auto& [forwarder, row] : came_)
-    for (const auto& op : operations_)
-      wanted[op.operation] += demand(forwarder, op.operation), all += demand(forwarder, op.operation);
-  if (all <= kFree * rate_) return parts;
-  // The dearest first; what is left over goes to all by what came, so that the parts always sum to the rate.
-  double left = rate_;
-  std::map<OperationId, double> given;
-  for (const auto& op : operations_) left -= given[op.operation] = std::min(left, wanted[op.operation]);
-  const auto n = static_cast<double>(came_.size());
-  for (const auto& [forwarder, row] : came_)
-    for (const auto& op : operations_) {
-      const double total = wanted[op.operation];
-      const double by_demand = total > 0 ? demand(forwarder, op.operation) / total : 1 / n;
-      const double spare = all > 0 ? left * total / all : 0;
-      parts[{forwarder, op.operation}] =
-          (given[op.operation] + spare) * ((1 - kEven) * by_demand + kEven / n);
+  Allocations allocations;
+  if (rate_ <= 0 || arrival_rates_.empty()) return allocations;
+  std::map<OperationId, double> demands;
+  double total_demand = 0;
+  for (const auto& [forwarder, entry] : arrival_rates_)
+    for (const auto& priced : operations_)
+      demands[priced.operation] += demand(forwarder, priced.operation),
+          total_demand += demand(forwarder, priced.operation);
+  if (total_demand <= kEnforcementThreshold * rate_) return allocations;
+  // Serves operations by value per cost, then divides the surplus by demand, so that the allocations always
+  // sum to the rate.
+  double unassigned = rate_;
+  std::map<OperationId, double> assigned;
+  for (const auto& priced : operations_)
+    unassigned -= assigned[priced.operation] = std::min(unassigned, demands[priced.operation]);
+  const auto forwarder_count = static_cast<double>(arrival_rates_.size());
+  for (const auto& [forwarder, entry] : arrival_rates_)
+    for (const auto& priced : operations_) {
+      const double operation_demand = demands[priced.operation];
+      const double demand_share =
+          operation_demand > 0 ? demand(forwarder, priced.operation) / operation_demand : 1 / forwarder_count;
+      const double surplus = total_demand > 0 ? unassigned * operation_demand / total_demand : 0;
+      allocations[{forwarder, priced.operation}] =
+          (assigned[priced.operation] + surplus) *
+          ((1 - kEvenFraction) * demand_share + kEvenFraction / forwarder_count);
     }
-  return parts;
+  return allocations;
 }
 
 }  // namespace gorsemount::limits
--- a/src/limits/fleet_rate_limit.hpp
+++ b/src/limits/fleet_rate_limit.hpp
@@ -1,6 +1,5 @@
-// Shares a rate of the whole fleet among forwarders by what came to each. No forwarder waits for it: each
-// holds its own part and turns away at once what is beyond; parts follow as reports come. Free of I/O and
-// clocks.
+// Divides a fleet-wide rate limit among the forwarders by the demand at each. A forwarder enforces its own
+// allocation locally, without waiting for the coordinator; allocations follow the reports. No I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -17,19 +16,19 @@
 struct PricedOperation {
   OperationId operation;
   double billed_value = 0;
-  double cost = 1;  // of one invocation, in any unit: value for cost decides who goes first
+  double cost = 1;  // of one invocation, in any unit; the highest value per cost is admitted first
 };
 
 class FleetRateLimit {
  public:
-  // `rate`: invocations a second that all forwarders together may let in; 0: any.
+  // `rate`: invocations per second that all forwarders together may admit; 0: unlimited.
   FleetRateLimit(double rate, std::vector<PricedOperation> operations);
 
-  void record_arrivals(ProxyId forwarder, OperationId operation, int n, Span over);
+  void record_arrivals(ProxyId forwarder, OperationId operation, int count, Span period);
   void add_forwarder(ProxyId forwarder);
   void remove_forwarder(ProxyId forwarder);
 
-  // What each forwarder may let in of each operation, invocations a second. Empty while all may come in.
+  // Invocations per second that each forwarder may admit of each operation. Empty while no limit applies.
   using Allocations = std::map<std::pair<ProxyId, OperationId>, double>;
   [[nodiscard]] Allocations allocations() const;
 
@@ -38,8 +37,8 @@
 
   double rate_;
   std::vector<PricedOperation> operations_;
-  std::map<ProxyId, std::map<OperationId, std::deque<double>>>
-      came_;  // invocations a second, the last samples
+  // The latest samples, invocations per second.
+  std::map<ProxyId, std::map<OperationId, std::deque<double>>> arrival_rates_;
 };
 
 }  // namespace gorsemount::limits
--- a/src/limits/retry_budget.cpp
+++ b/src/limits/retry_budget.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 
-// A forwarder that has used so much of its part will soon be short of it.
-constexpr double kHungry = 0.8;
-// Of what a quiet one has over its own recent use, this much stays with it: its first second of trouble must
-// not wait for a report.
-constexpr double kReserve = 0.5;
-// No forwarder gets more than so many times the fleet's share: past that it is better told that its answers
-// are bad.
-constexpr double kMost = 4;
-// What moves by less is not worth a message.
-constexpr double kWorthIt = 0.25;
+// A forwarder that has used this fraction of its allocation is about to exhaust it and may borrow.
+constexpr double kExhaustionThreshold = 0.8;
+// Fraction of its unused allocation that a lending forwarder keeps, so that it can retry in the first second
+// of a failure, before its next report.
+constexpr double kReserveFraction = 0.5;
+// No forwarder gets more than this multiple of the fleet's share: beyond that, passing errors on to the
+// client is better than more retries.
+constexpr double kMaxShareMultiple = 4;
+// Smaller relative changes are not worth a message to the forwarder.
+constexpr double kMinRelativeChange = 0.25;
 
 }  // namespace
 
@@ -26,72 +26,80 @@
   return ordered;
 }
 
-void RetryBudget::record_tries(Instant now, ProxyId forwarder, int first, int further) {
-  const auto it = rows_.find(forwarder);
-  if (it == rows_.end()) return;
+void RetryBudget::record_tries(Instant now, ProxyId forwarder, int first_tries, int retries) {
+  const auto it = forwarders_.find(forwarder);
+  if (it == forwarders_.end()) return;
   auto& samples = it->second.samples;
   samples.push_back(
-      {now, static_cast<double>(std::max(0, first)), static_cast<double>(std::max(0, further))});
+      {now, static_cast<double>(std::max(0, first_tries)), static_cast<double>(std::max(0, retries))});
   while (!samples.empty() && now - samples.front().at > window_) samples.pop_front();
 }
 
-void RetryBudget::restore(ProxyId forwarder, double part) {
-  if (share_ <= 0 || !std::isfinite(part)) return;
-  rows_[forwarder].part = parts_[forwarder] = std::clamp(part, 0.0, kMost * share_);
+void RetryBudget::restore(ProxyId forwarder, double allocation) {
+  if (share_ <= 0 || !std::isfinite(allocation)) return;
+  forwarders_[forwarder].allocation = allocations_[forwarder] =
+      std::clamp(allocation, 0.0, kMaxShareMultiple * share_);
 }
 
 const RetryBudget::Allocations& RetryBudget::allocate(Instant now) {
-  if (share_ <= 0) return parts_;
-  struct Sum {
-    Row* row = nullptr;
-    double first = 0, further = 0, wanted = 0;
+  if (share_ <= 0) return allocations_;
+  struct Totals {
+    Forwarder* state = nullptr;
+    double first_tries = 0, retries = 0, wanted = 0;
   };
-  std::map<ProxyId, Sum> sums;
-  double lent = 0, hungry = 0;
-  for (auto& [forwarder, row] : rows_) {
-    Sum s{&row, 0, 0, share_};
-    for (const auto& sample : row.samples)
-      if (now - sample.at <= window_) s.first += sample.first, s.further += sample.further;
-    if (row.part < 0) row.part = share_;
-    if (s.first > 0 && s.further >= kHungry * row.part * s.first) {
-      hungry += s.first;
-    } else if (s.first > 0) {
-      const double own = share_ * s.first, over = std::max(0.0, own - s.further);
-      lent += (1 - kReserve) * over;
-      s.wanted = (own - (1 - kReserve) * over) / s.first;
+  std::map<ProxyId, Totals> totals;
+  double lendable = 0, borrower_tries = 0;
+  for (auto& [forwarder, state] : forwarders_) {
+    Totals total{&state, 0, 0, share_};
+    for (const auto& sample : state.samples)
+      if (now - sample.at <= window_)
+        total.first_tries += sample.first_tries, total.retries += sample.retries;
+    if (state.allocation < 0) state.allocation = share_;
+    if (total.first_tries > 0 &&
+        total.retries >= kExhaustionThreshold * state.allocation * total.first_tries) {
+      borrower_tries += total.first_tries;
+    } else if (total.first_tries > 0) {
+      const double fair_share = share_ * total.first_tries,
+                   unused = std::max(0.0, fair_share - total.retries);
+      lendable += (1 - kReserveFraction) * unused;
+      total.wanted = (fair_share - (1 - kReserveFraction) * unused) / total.first_tries;
     }
-    sums.emplace(forwarder, s);
+    totals.emplace(forwarder, total);
   }
-  // With nobody short of anything nothing is lent: all have the share, and a quiet fleet is sent nothing.
-  for (auto& [forwarder, s] : sums) {
-    if (hungry <= 0) {
-      s.wanted = share_;
-    } else if (s.first > 0 && s.further >= kHungry * s.row->part * s.first) {
-      s.wanted = std::min(kMost * share_, share_ + lent / hungry);
+  // Without a borrower nothing is lent: all get the plain share, and no message is needed.
+  for (auto& [forwarder, total] : totals) {
+    if (borrower_tries <= 0) {
+      total.wanted = share_;
+    } else if (total.first_tries > 0 &&
+               total.retries >= kExhaustionThreshold * total.state->allocation * total.first_tries) {
+      total.wanted = std::min(kMaxShareMultiple * share_, share_ + lendable / borrower_tries);
     }
   }
-  // Less is ordered at once, more only if all of it still fits: old parts that stay must not make the sum too
-  // large.
-  double budget = 0, stands = 0;
-  for (auto& [forwarder, s] : sums) {
-    budget += share_ * s.first;
-    const bool stays = std::abs(s.wanted - s.row->part) <= kWorthIt * std::max(s.wanted, s.row->part);
-    if (!stays && s.wanted < s.row->part) s.row->part = s.wanted;
-    stands += s.row->part * s.first;
+  // Decreases apply at once, increases only if the sum still fits the budget together with the allocations
+  // that stay unchanged.
+  double budget = 0, allocated = 0;
+  for (auto& [forwarder, total] : totals) {
+    budget += share_ * total.first_tries;
+    const bool keeps = std::abs(total.wanted - total.state->allocation) <=
+                       kMinRelativeChange * std::max(total.wanted, total.state->allocation);
+    if (!keeps && total.wanted < total.state->allocation) total.state->allocation = total.wanted;
+    allocated += total.state->allocation * total.first_tries;
   }
-  for (auto& [forwarder, s] : sums) {
-    const double more = (s.wanted - s.row->part) * s.first;
-    if (s.wanted <= s.row->part * (1 + kWorthIt) || (stands + more > budget * (1 + 1e-9) && s.first > 0))
+  for (auto& [forwarder, total] : totals) {
+    const double increase = (total.wanted - total.state->allocation) * total.first_tries;
+    if (total.wanted <= total.state->allocation * (1 + kMinRelativeChange) ||
+        (allocated + increase > budget * (1 + 1e-9) && total.first_tries > 0))
       continue;
-    s.row->part = s.wanted, stands += more;
+    total.state->allocation = total.wanted, allocated += increase;
   }
-  // What came to each changes too: parts that stand for too much by now are cut back together.
-  if (stands > budget * (1 + 1e-9))
-    for (auto& [forwarder, s] : sums)
-      s.row->part *= (1 - kWorthIt / 2) * budget / stands;  // and some room, or each round would
-  parts_.clear();
-  for (const auto& [forwarder, s] : sums) parts_[forwarder] = s.row->part;
-  return parts_;
+  // First tries shift between forwarders too: allocations that now exceed the budget are scaled down
+  // together, by half a minimal change more than needed, so that this doesn't recur each round.
+  if (allocated > budget * (1 + 1e-9))
+    for (auto& [forwarder, total] : totals)
+      total.state->allocation *= (1 - kMinRelativeChange / 2) * budget / allocated;
+  allocations_.clear();
+  for (const auto& [forwarder, total] : totals) allocations_[forwarder] = total.state->allocation;
+  return allocations_;
 }
 
 }  // namespace gorsemount::limits
--- a/src/limits/retry_budget.hpp
+++ b/src/limits/retry_budget.hpp
@@ -1,8 +1,7 @@
-// Decides how many further tries the fleet may make: a share of its first tries over a window, dealt to
-// forwarders, so that a zone's loss never becomes a storm of repeats. Each forwarder holds its part and keeps
-// to it by itself, at once; what quiet ones leave over is lent to those that need more. Side-effecting work
-// is repeated on proof only, whatever is dealt, and there is no right to a hedge to deal. Free of I/O and
-// clocks.
+// Limits the retries of the fleet to a share of its first tries over a window, divided among the forwarders,
+// so that the loss of a zone causes no retry storm. Each forwarder enforces its allocation locally; what some
+// leave unused is lent to those that need more. Whatever the budget, side-effecting invocations are retried
+// only with proof that the first try had no effect, and the budget grants no hedged requests. No I/O, no clock.
 #pragma once
 
 #include <deque>
@@ -14,41 +13,42 @@
 
 namespace gorsemount::limits {
 
-// The most that an operation of this effect may be tried again, whatever a table says.
+// Caps the retries that are ordered for an operation by what its effect permits.
 [[nodiscard]] FurtherTries allowed_retries(Effect effect, FurtherTries ordered);
 
 class RetryBudget {
  public:
-  // `share` of all first tries of the last `window` may be tried again; 0: any number, and nothing is dealt.
+  // Retries may reach `share` of the first tries of the last `window`; 0: unlimited, nothing is allocated.
   RetryBudget(double share, Span window) : share_{share}, window_{window} {}
 
-  void add_forwarder(ProxyId forwarder) { rows_.try_emplace(forwarder); }
-  void remove_forwarder(ProxyId forwarder) { rows_.erase(forwarder); }
-  // Of one report: first tries and further ones. Of one that has not joined: nothing.
-  void record_tries(Instant now, ProxyId forwarder, int first, int further);
+  void add_forwarder(ProxyId forwarder) { forwarders_.try_emplace(forwarder); }
+  void remove_forwarder(ProxyId forwarder) { forwarders_.erase(forwarder); }
+  // Adds one report; ignored for an unknown forwarder.
+  void record_tries(Instant now, ProxyId forwarder, int first_tries, int retries);
 
-  // After a round of reports: what each forwarder may try again of its own first tries. The parts, times what
-  // came to each, never add up to more than the fleet's budget. What would move by less than a quarter stays.
+  // Retries as a share of first tries, by forwarder. To be recomputed after a round of reports: multiplied by
+  // each forwarder's first tries, the allocations never sum to more than the fleet's budget. An allocation
+  // that would change by less than a quarter stays as it is.
   using Allocations = std::map<ProxyId, double>;
   [[nodiscard]] const Allocations& allocate(Instant now);
-  [[nodiscard]] const Allocations& allocations() const { return parts_; }
-  // What an earlier life, or another controller, had dealt; it stands till the reports say otherwise.
-  void restore(ProxyId forwarder, double part);
+  [[nodiscard]] const Allocations& allocations() const { return allocations_; }
+  // Sets what was allocated before a restart or by another coordinator; it holds until reports change it.
+  void restore(ProxyId forwarder, double allocation);
 
  private:
   struct Sample {
     Instant at;
-    double first = 0, further = 0;
+    double first_tries = 0, retries = 0;
   };
-  struct Row {
-    std::deque<Sample> samples;  // of the window
-    double part = -1;            // as dealt; below 0: not yet
+  struct Forwarder {
+    std::deque<Sample> samples;  // within the window
+    double allocation = -1;      // negative: none yet
   };
 
   double share_;
   Span window_;
-  std::map<ProxyId, Row> rows_;
-  Allocations parts_;
+  std::map<ProxyId, Forwarder> forwarders_;
+  Allocations allocations_;
 };
 
 }  // namespace gorsemount::limits
--- a/src/limits/retry_limiter.hpp
+++ b/src/limits/retry_limiter.hpp
@@ -1,5 +1,5 @@
-// What a forwarder does with its part of the retry budget: counts of the last ten seconds, as a proxy's own
-// sliding rates give them. Free of I/O and clocks.
+// Enforces a forwarder's allocation of the retry budget by counts over the last ten seconds, as a proxy's own
+// sliding rates do. No I/O, no clock.
 #pragma once
 
 #include <algorithm>
@@ -12,27 +12,27 @@
 
 class RetryLimiter {
  public:
-  // Below so many in the window a share of them is noise.
-  static constexpr double kLeast = 3;
+  // Always allowed within the window, since a share of so few first tries is noise.
+  static constexpr double kMinRetries = 3;
 
-  void record_first_try(Instant now) { ++at(now).first; }
-  // Whether one may be tried again now; if so it counts. `thousandths` of first tries; below 0: any number.
-  bool allow_retry(Instant now, int thousandths) {
-    Bucket& bucket = at(now);
-    if (thousandths >= 0) {
-      double all = 0, further = 0;
-      for (const auto& b : buckets_) all += b.first, further += b.further;
-      if (further + 1 > std::max(kLeast, all * thousandths / 1000.0)) return false;
+  void record_first_try(Instant now) { ++bucket_at(now).first_tries; }
+  // Whether a retry is allowed now; counts it if so. `permille`: of first tries; negative: unlimited.
+  bool allow_retry(Instant now, int permille) {
+    Bucket& current = bucket_at(now);
+    if (permille >= 0) {
+      double first_tries = 0, retries = 0;
+      for (const auto& bucket : buckets_) first_tries += bucket.first_tries, retries += bucket.retries;
+      if (retries + 1 > std::max(kMinRetries, first_tries * permille / 1000.0)) return false;
     }
-    ++bucket.further;
+    ++current.retries;
     return true;
   }
 
  private:
   struct Bucket {
-    std::uint32_t first = 0, further = 0;
+    std::uint32_t first_tries = 0, retries = 0;
   };
-  Bucket& at(Instant now) {
+  Bucket& bucket_at(Instant now) {
     const std::int64_t second = (now - Instant{}).micros() / 1'000'000;
     if (second - second_ >= static_cast<std::int64_t>(buckets_.size())) buckets_ = {}, second_ = second;
     while (second_ < second) buckets_[static_cast<std::size_t>(++second_) % buckets_.size()] = {};
--- a/src/shared_fleet/cluster_adapter.cpp
+++ b/src/shared_fleet/cluster_adapter.cpp
@@ -9,65 +9,65 @@
 using coordinator::is_forwarder;
 using coordinator::kFirstForwarder;
 
-cluster::ShardId ClusterAdapter::shard_of(ProxyId proxy, const coordinator::Settings& s) const {
-  return cluster_->shard_of(is_forwarder(proxy) ? s.forwarders[proxy.value - kFirstForwarder].name
-                                                : s.groups[proxy.value].name);
+cluster::ShardId ClusterAdapter::shard_of(ProxyId proxy, const coordinator::Settings& settings) const {
+  return cluster_->shard_of(is_forwarder(proxy) ? settings.forwarders[proxy.value - kFirstForwarder].name
+                                                : settings.groups[proxy.value].name);
 }
 
-// What the others knew, once for each moment in which something is taken over, and before it is.
-void ClusterAdapter::recall(Instant now, ClusterUpdate& turn) {
-  if (turn.recalled > 0) return;
-  auto facts = cluster_->knowledge().believed(now);
+// Adds the facts of the other members, once per update and ahead of the inputs that take something over.
+void ClusterAdapter::add_recalled_facts(Instant now, ClusterUpdate& update) {
+  if (update.recalled > 0) return;
+  auto facts = cluster_->replication().trusted_entries(now);
   if (facts.empty()) return;
-  turn.recalled = facts.size();
-  turn.inputs.insert(turn.inputs.begin(), coordinator::Recalled{std::move(facts)});
+  update.recalled = facts.size();
+  update.inputs.insert(update.inputs.begin(), coordinator::Recalled{std::move(facts)});
 }
 
-ClusterUpdate ClusterAdapter::poll_leadership(Instant now, const coordinator::Settings& s) {
-  ClusterUpdate turn;
-  for (std::size_t k = 0; k < s.groups.size(); ++k) {
+ClusterUpdate ClusterAdapter::poll_leadership(Instant now, const coordinator::Settings& settings) {
+  ClusterUpdate update;
+  for (std::size_t k = 0; k < settings.groups.size(); ++k) {
     const ProxyId id{static_cast<std::uint16_t>(k)};
-    const bool here = cluster_->held_term(shard_of(id, s), now).has_value();
-    const auto was = groups_.find(id);
-    if (was != groups_.end() && was->second == here) continue;
-    groups_[id] = here;
-    if (here) recall(now, turn);
-    turn.inputs.emplace_back(coordinator::GroupLed{id, here});
+    const bool led_here = cluster_->held_term(shard_of(id, settings), now).has_value();
+    const auto previous = led_groups_.find(id);
+    if (previous != led_groups_.end() && previous->second == led_here) continue;
+    led_groups_[id] = led_here;
+    if (led_here) add_recalled_facts(now, update);
+    update.inputs.emplace_back(coordinator::GroupLed{id, led_here});
   }
-  for (std::size_t k = 0; k < s.forwarders.size(); ++k) {
+  for (std::size_t k = 0; k < settings.forwarders.size(); ++k) {
     const ProxyId id{static_cast<std::uint16_t>(kFirstForwarder + k)};
-    const auto term = cluster_->held_term(shard_of(id, s), now);
-    auto& was = led_[id];
-    if (was == term) continue;
-    if (term) recall(now, turn);
-    turn.lead_changes.push_back({id, term, was});
-    was = term;
+    const auto term = cluster_->held_term(shard_of(id, settings), now);
+    auto& previous = terms_[id];
+    if (previous == term) continue;
+    if (term) add_recalled_facts(now, update);
+    update.lead_changes.push_back({id, term, previous});
+    previous = term;
   }
-  return turn;
+  return update;
 }
 
 ClusterUpdate ClusterAdapter::exchange_facts(Instant now, const coordinator::Coordinator& core,
                                              bool& changed) {
-  ClusterUpdate turn;
-  auto& knowledge = cluster_->knowledge();
-  changed = knowledge.observe(now, core.facts()) > 0;
-  cluster_->keep(core.zone_moves());
-  std::vector<recovery::Entry> at_once;
-  for (auto& entry : knowledge.take_news())
-    if (recovery::acts_at_once(entry.subject.kind)) at_once.push_back(std::move(entry));
-  if (!at_once.empty()) turn.inputs.emplace_back(coordinator::Recalled{std::move(at_once)});
-  const auto& s = core.settings();
-  for (const auto& [group, here] : groups_) {
-    if (here || group.value >= s.groups.size()) continue;
-    const auto table = cluster::table_of(knowledge.copies(), s.groups[group.value].name, now);
-    if (!table) continue;  // nobody is heard: what stands, stands
-    coordinator::Followed followed{group, true, table->lines, {}};
-    for (const auto& op : s.operations)
-      if (const auto level = table->levels.find(op.name); level != table->levels.end())
+  ClusterUpdate update;
+  auto& replication = cluster_->replication();
+  changed = replication.observe(now, core.facts()) > 0;
+  cluster_->suspend_rebalancing(core.zone_moves());
+  std::vector<recovery::Entry> immediate;
+  for (auto& entry : replication.take_received())
+    if (recovery::acts_at_once(entry.subject.kind)) immediate.push_back(std::move(entry));
+  if (!immediate.empty()) update.inputs.emplace_back(coordinator::Recalled{std::move(immediate)});
+  const auto& settings = core.settings();
+  for (const auto& [group, led_here] : led_groups_) {
+    if (led_here || group.value >= settings.groups.size()) continue;
+    const auto table = cluster::leader_table(replication.replicas(), settings.groups[group.value].name, now);
+    if (!table) continue;  // without contact to a leader the current table stays in use
+    coordinator::Followed followed{group, true, table->weights, {}};
+    for (const auto& operation : settings.operations)
+      if (const auto level = table->levels.find(operation.name); level != table->levels.end())
         followed.levels.push_back(level->second);
-    turn.inputs.emplace_back(std::move(followed));
+    update.inputs.emplace_back(std::move(followed));
   }
-  return turn;
+  return update;
 }
 
 }  // namespace gorsemount::shared_fleet
--- a/src/shared_fleet/cluster_adapter.hpp
+++ b/src/shared_fleet/cluster_adapter.hpp
@@ -1,6 +1,5 @@
-// One controller's part in a shared fleet, between its core and its cluster: what it newly leads or leads no
-// more, what it takes over then, what it tells the others and what it hears of them. Free of I/O and clock;
-// the program and the virtual clock use it alike.
+// Connects a coordinator's core to its cluster: passes on changes of leadership with the facts to take over,
+// and exchanges facts with the other members. No I/O, no clock: both the program and the simulation use it.
 #pragma once
 
 #include <map>
@@ -14,13 +13,13 @@
 
 struct ClusterUpdate {
   std::vector<coordinator::Input> inputs;  // for the core, in this order
-  // Forwarders whose leading changed: a term to lead under, or none.
-  struct Lead {
+  // A forwarder whose term changed; without a term this coordinator doesn't lead it.
+  struct LeadChange {
     ProxyId forwarder;
     std::optional<cluster::Term> now, before;
   };
-  std::vector<Lead> lead_changes;
-  std::size_t recalled = 0;  // facts that the core is to take over
+  std::vector<LeadChange> lead_changes;
+  std::size_t recalled = 0;  // facts of other members among the inputs of a takeover
 };
 
 class ClusterAdapter {
@@ -28,23 +27,24 @@
   explicit ClusterAdapter(cluster::Cluster& cluster) : cluster_{&cluster} {}
 
   [[nodiscard]] cluster::ShardId shard_of(ProxyId proxy, const coordinator::Settings& settings) const;
-  // After whatever may have changed who leads.
+  // To be called after anything that may have changed leadership.
   [[nodiscard]] ClusterUpdate poll_leadership(Instant now, const coordinator::Settings& settings);
-  // A few times a second: tells and hears. `changed` facts are to be sent: tick the cluster.
+  // To be called a few times a second: updates the replicated facts and returns what others replicated. Sets
+  // `changed` if there are facts to send, for which the caller ticks the cluster.
   [[nodiscard]] ClusterUpdate exchange_facts(Instant now, const coordinator::Coordinator& core,
                                              bool& changed);
-  // Groups were renamed or moved: all are looked at anew.
-  void reset_groups() { groups_.clear(); }
+  // Reports the leadership of every group again, after groups were renamed or moved.
+  void reset_groups() { led_groups_.clear(); }
   [[nodiscard]] const std::map<ProxyId, std::optional<cluster::Term>>& forwarder_terms() const {
-    return led_;
+    return terms_;
   }
 
  private:
-  void recall(Instant now, ClusterUpdate& turn);
+  void add_recalled_facts(Instant now, ClusterUpdate& update);
 
   cluster::Cluster* cluster_;
-  std::map<ProxyId, std::optional<cluster::Term>> led_;
-  std::map<ProxyId, bool> groups_;
+  std::map<ProxyId, std::optional<cluster::Term>> terms_;
+  std::map<ProxyId, bool> led_groups_;
 };
 
 }  // namespace gorsemount::shared_fleet
--- a/tests/limits/retry_budget_test.cpp
+++ b/tests/limits/retry_budget_test.cpp
@@ -1,5 +1,5 @@
-// The budget of further tries: what is dealt never adds up to more than the fleet may, whoever is in trouble
-// gets what others leave over, and no loss becomes a storm.
+// The retry budget: allocations never sum to more than the fleet's budget, a forwarder with failures gets
+// what the others leave unused, and the loss of a zone causes no retry storm.
 #include "limits/retry_budget.hpp"
 
 #include <gtest/gtest.h>
@@ -13,107 +13,116 @@
 
 constexpr double kShare = 0.1;
 
-// Forwarders that keep to what they hold, at once; reports and deals every half second.
-class Fleet {
+// Forwarders that enforce their allocations locally; reports and new allocations every half second.
+class SimulatedFleet {
  public:
-  explicit Fleet(std::size_t n, double share = kShare)
-      : budget{share, Span::seconds(10)}, meters(n), held(n, share > 0 ? share : -1), bad(n, 0) {
+  explicit SimulatedFleet(std::size_t n, double share = kShare)
+      : budget{share, Span::seconds(10)},
+        limiters(n),
+        allocations(n, share > 0 ? share : -1),
+        failure_rate(n, 0) {
     for (std::uint16_t f = 0; f < n; ++f) budget.add_forwarder(ProxyId{f});
   }
-  // Each of `come` invocations fails at once with its forwarder's chance, and would be tried twice more.
-  void rounds(int n, int come = 20) {
+  // Each of `invocations` fails at once at its forwarder's failure rate, and is retried up to twice.
+  void run_rounds(int n, int invocations = 20) {
     for (int k = 0; k < n; ++k) {
       now = now + Span::seconds(0.5);
-      for (std::uint16_t f = 0; f < meters.size(); ++f) {
-        int further = 0;
-        for (int i = 0; i < come; ++i) {
-          meters[f].record_first_try(now);
-          for (int again = 0; again < 2 && std::uniform_real_distribution<>{}(chance) < bad[f]; ++again)
-            if (meters[f].allow_retry(now, held[f] < 0 ? -1 : static_cast<int>(1000 * held[f] + 1e-9)))
-              ++further;
+      for (std::uint16_t f = 0; f < limiters.size(); ++f) {
+        int retries = 0;
+        for (int i = 0; i < invocations; ++i) {
+          limiters[f].record_first_try(now);
+          for (int retry = 0; retry < 2 && std::uniform_real_distribution<>{}(rng) < failure_rate[f]; ++retry)
+            if (limiters[f].allow_retry(
+                    now, allocations[f] < 0 ? -1 : static_cast<int>(1000 * allocations[f] + 1e-9)))
+              ++retries;
         }
-        first += come, all += further;
-        budget.record_tries(now, ProxyId{f}, come, further);
+        first_tries += invocations, retries_total += retries;
+        budget.record_tries(now, ProxyId{f}, invocations, retries);
       }
-      for (const auto& [id, part] : budget.allocate(now))
-        moved += part != held[id.value] ? 1 : 0, held[id.value] = part;
+      for (const auto& [id, allocation] : budget.allocate(now))
+        changed_allocations += allocation != allocations[id.value] ? 1 : 0,
+            allocations[id.value] = allocation;
     }
   }
-  void forget() { first = all = 0, moved = 0; }
+  void reset_counts() { first_tries = retries_total = 0, changed_allocations = 0; }
   RetryBudget budget;
-  std::vector<RetryLimiter> meters;
-  std::vector<double> held, bad;
-  std::mt19937 chance{3};
+  std::vector<RetryLimiter> limiters;
+  std::vector<double> allocations, failure_rate;
+  std::mt19937 rng{3};
   Instant now = Instant::at_seconds(100);
-  double first = 0, all = 0;
-  int moved = 0;
+  double first_tries = 0, retries_total = 0;
+  int changed_allocations = 0;
 };
 
-TEST(RetryBudget, EveryWorkerOfAZoneFailingFastBecomesNoStorm) {
-  Fleet fleet{50}, unbound{50, 0};
-  for (auto* f : {&fleet, &unbound}) {
-    f->rounds(20);
-    f->bad.assign(50, 1.0 / 3);
-    f->rounds(20);
-    f->forget();
-    f->rounds(100);
+TEST(RetryBudget, FastFailuresOfAWholeZoneCauseNoRetryStorm) {
+  SimulatedFleet fleet{50}, unlimited{50, 0};
+  for (auto* f : {&fleet, &unlimited}) {
+    f->run_rounds(20);
+    f->failure_rate.assign(50, 1.0 / 3);
+    f->run_rounds(20);
+    f->reset_counts();
+    f->run_rounds(100);
   }
-  EXPECT_LE(fleet.all / fleet.first, kShare * 1.01);
-  EXPECT_GT(fleet.all / fleet.first, kShare * 0.8);
-  EXPECT_GT(unbound.all / unbound.first, 0.4) << "so the storm is there to be kept down";
+  EXPECT_LE(fleet.retries_total / fleet.first_tries, kShare * 1.01);
+  EXPECT_GT(fleet.retries_total / fleet.first_tries, kShare * 0.8);
+  EXPECT_GT(unlimited.retries_total / unlimited.first_tries, 0.4)
+      << "without a budget there is a retry storm";
 }
 
-TEST(RetryBudget, WhoIsInTroubleAloneGetsWhatOthersLeaveOver) {
-  Fleet fleet{20};
-  fleet.rounds(40);
-  EXPECT_EQ(fleet.moved, 0) << "a quiet fleet is sent nothing";
-  fleet.bad[7] = 0.5;
-  fleet.rounds(40);
-  EXPECT_NEAR(fleet.held[7], 4 * kShare, 1e-9);
+TEST(RetryBudget, AForwarderWithFailuresBorrowsWhatOthersLeaveUnused) {
+  SimulatedFleet fleet{20};
+  fleet.run_rounds(40);
+  EXPECT_EQ(fleet.changed_allocations, 0) << "without failures no allocation changes";
+  fleet.failure_rate[7] = 0.5;
+  fleet.run_rounds(40);
+  EXPECT_NEAR(fleet.allocations[7], 4 * kShare, 1e-9);
   for (std::uint16_t f = 0; f < 20; ++f)
     if (f != 7) {
-      EXPECT_GE(fleet.held[f], kShare / 2 - 1e-9) << "a reserve for its first second of trouble";
+      EXPECT_GE(fleet.allocations[f], kShare / 2 - 1e-9) << "a lender keeps a reserve for its own failures";
     }
-  fleet.bad[7] = 0;
-  fleet.rounds(60);
-  for (const double part : fleet.held) EXPECT_NEAR(part, kShare, kShare / 4) << "and gives it back";
+  fleet.failure_rate[7] = 0;
+  fleet.run_rounds(60);
+  for (const double allocation : fleet.allocations)
+    EXPECT_NEAR(allocation, kShare, kShare / 4) << "borrowed allocations are returned";
 }
 
-// Whatever comes and fails: the parts that are held, times what came, are within the budget after each deal.
-TEST(RetryBudget, PartsNeverAddUpToMoreThanTheBudget) {
-  std::mt19937 chance{5};
-  for (int life = 0; life < 40; ++life) {
+// With random traffic and failures, the allocations multiplied by the first tries stay within the budget
+// after every round.
+TEST(RetryBudget, AllocationsNeverExceedTheBudget) {
+  std::mt19937 rng{5};
+  for (int run = 0; run < 40; ++run) {
     RetryBudget budget{kShare, Span::seconds(10)};
-    const std::uint16_t n = static_cast<std::uint16_t>(1 + chance() % 30);
-    std::vector<std::vector<std::pair<Instant, int>>> came(n);
+    const std::uint16_t n = static_cast<std::uint16_t>(1 + rng() % 30);
+    std::vector<std::vector<std::pair<Instant, int>>> first_tries_by_forwarder(n);
     std::vector<int> rate(n, 10);
-    std::vector<double> fails(n, 0);
+    std::vector<double> failure_rate(n, 0);
     for (std::uint16_t f = 0; f < n; ++f) budget.add_forwarder(ProxyId{f});
-    if (life % 3 == 0) budget.restore(ProxyId{0}, 9);
+    if (run % 3 == 0) budget.restore(ProxyId{0}, 9);
     Instant now = Instant::at_seconds(5);
     for (int round = 0; round < 150; ++round) {
       now = now + Span::seconds(0.5);
       for (std::uint16_t f = 0; f < n; ++f) {
-        if (chance() % 20 == 0) rate[f] = static_cast<int>(chance() % 100);
-        if (chance() % 20 == 0) fails[f] = static_cast<double>(chance() % 3) / 2;
-        const int further = static_cast<int>(fails[f] * rate[f]);
-        budget.record_tries(now, ProxyId{f}, rate[f], further);
-        came[f].emplace_back(now, rate[f]);
+        if (rng() % 20 == 0) rate[f] = static_cast<int>(rng() % 100);
+        if (rng() % 20 == 0) failure_rate[f] = static_cast<double>(rng() % 3) / 2;
+        const int retries = static_cast<int>(failure_rate[f] * rate[f]);
+        budget.record_tries(now, ProxyId{f}, rate[f], retries);
+        first_tries_by_forwarder[f].emplace_back(now, rate[f]);
       }
-      double most = 0, dealt = 0;
-      for (const auto& [id, part] : budget.allocate(now)) {
-        double first = 0;
-        for (const auto& [when, k] : came[id.value]) first += now - when <= Span::seconds(10) ? k : 0;
-        most += kShare * first, dealt += part * first;
-        EXPECT_GE(part, 0);
-        EXPECT_LE(part, 4 * kShare + 1e-12);
+      double budget_tries = 0, allocated = 0;
+      for (const auto& [id, allocation] : budget.allocate(now)) {
+        double first_tries = 0;
+        for (const auto& [at, k] : first_tries_by_forwarder[id.value])
+          first_tries += now - at <= Span::seconds(10) ? k : 0;
+        budget_tries += kShare * first_tries, allocated += allocation * first_tries;
+        EXPECT_GE(allocation, 0);
+        EXPECT_LE(allocation, 4 * kShare + 1e-12);
       }
-      ASSERT_LE(dealt, most * (1 + 1e-6)) << "life " << life << " round " << round;
+      ASSERT_LE(allocated, budget_tries * (1 + 1e-6)) << "run " << run << " round " << round;
     }
   }
 }
 
-TEST(RetryBudget, WhatWasDealtBeforeARestartStandsTillReportsSayOtherwise) {
+TEST(RetryBudget, ARestoredAllocationHoldsUntilReportsChangeIt) {
   RetryBudget budget{kShare, Span::seconds(10)};
   budget.add_forwarder(ProxyId{1}), budget.add_forwarder(ProxyId{2});
   budget.restore(ProxyId{1}, 3 * kShare);
@@ -123,7 +132,7 @@
   EXPECT_NEAR(budget.allocate(Instant::at_seconds(1)).at(ProxyId{1}), kShare, 1e-12);
 }
 
-TEST(RetryBudget, SideEffectingWorkNeverGetsMoreThanProof) {
+TEST(RetryBudget, SideEffectingOperationsAreRetriedOnlyAfterProof) {
   for (const auto ordered :
        {FurtherTries::none, FurtherTries::after_proof, FurtherTries::one, FurtherTries::two}) {
     EXPECT_EQ(allowed_retries(Effect::side_effecting, ordered), std::min(ordered, FurtherTries::after_proof));
@@ -132,19 +141,19 @@
   }
 }
 
-TEST(RetryLimiter, CountsTheLastTenSecondsAndLeavesAFewInAnyCase) {
-  RetryLimiter meter;
+TEST(RetryLimiter, CountsTheLastTenSecondsAndAlwaysAllowsAFewRetries) {
+  RetryLimiter limiter;
   Instant now = Instant::at_seconds(50);
-  int may = 0;
-  for (int k = 0; k < 10; ++k) may += meter.allow_retry(now, 0) ? 1 : 0;
-  EXPECT_EQ(may, 3);
-  for (int k = 0; k < 100; ++k) meter.record_first_try(now);
-  for (int k = 0; k < 100; ++k) may += meter.allow_retry(now, 200) ? 1 : 0;
-  EXPECT_EQ(may, 20);
+  int allowed = 0;
+  for (int k = 0; k < 10; ++k) allowed += limiter.allow_retry(now, 0) ? 1 : 0;
+  EXPECT_EQ(allowed, 3);
+  for (int k = 0; k < 100; ++k) limiter.record_first_try(now);
+  for (int k = 0; k < 100; ++k) allowed += limiter.allow_retry(now, 200) ? 1 : 0;
+  EXPECT_EQ(allowed, 20);
   now = now + Span::seconds(9.5);
-  EXPECT_FALSE(meter.allow_retry(now, 200));
+  EXPECT_FALSE(limiter.allow_retry(now, 200));
   now = now + Span::seconds(1);
-  EXPECT_TRUE(meter.allow_retry(now, 200)) << "what is older counts no more";
+  EXPECT_TRUE(limiter.allow_retry(now, 200)) << "older tries no longer count";
 }
 
 }  // namespace
