--- a/src/cluster/replication.cpp
+++ b/src/cluster/replication.cpp
@@ -3,13 +3,13 @@
 #include <algorithm>
 #include <utility>
 
-#include "recovery/belief.hpp"
 #include "recovery/codec.hpp"
+#include "recovery/fact_confidence.hpp"
 
 namespace gorsemount::cluster {
 
 using recovery::Entry;
-using recovery::Kind;
+using recovery::FactKind;
 
 namespace {
 
@@ -29,9 +29,9 @@
 
 std::size_t Replication::observe(Instant now, const recovery::Facts& present) {
   const auto changed = fact_log_.observe(now, present);
-  std::uint64_t acked_by_all = fact_log_.last();
+  std::uint64_t acked_by_all = fact_log_.last_sequence();
   for (const auto& [member, peer] : peers_) acked_by_all = std::min(acked_by_all, peer.acked);
-  fact_log_.forget_gone(now, acked_by_all);
+  fact_log_.purge_deleted(now, acked_by_all);
   return changed;
 }
 
@@ -41,7 +41,8 @@
 }
 
 void Replication::send_batch(Instant now, MemberId to, Peer& peer) {
-  ReplicationBatch batch{generation_, peer.acked, peer.acked, fact_log_.last(), peer.echoed_clock, {}};
+  ReplicationBatch batch{generation_,       peer.acked, peer.acked, fact_log_.last_sequence(),
+                         peer.echoed_clock, {}};
   auto entries = fact_log_.after(peer.acked, kMaxBatchEntries);
   while (!entries.empty()) {
     batch.facts = recovery::encode(entries, now);
@@ -56,7 +57,7 @@
   }
   if (!entries.empty()) batch.up_to = entries.back().sequence;
   // The last sequences may belong to entries that were compacted away.
-  if (fact_log_.after(batch.up_to, 1).empty()) batch.up_to = fact_log_.last();
+  if (fact_log_.after(batch.up_to, 1).empty()) batch.up_to = fact_log_.last_sequence();
   peer.in_flight = batch.up_to, peer.retransmit_at = now + settings_.retransmit_interval,
   peer.heartbeat_at = now + settings_.heartbeat_interval;
   ++counters_.sent;
@@ -66,7 +67,7 @@
 std::vector<Message> Replication::tick(Instant now) {
   for (auto& [member, peer] : peers_) {
     const bool waiting = peer.in_flight > peer.acked && now < peer.retransmit_at;
-    if ((peer.acked < fact_log_.last() && !waiting) || now >= peer.heartbeat_at)
+    if ((peer.acked < fact_log_.last_sequence() && !waiting) || now >= peer.heartbeat_at)
       send_batch(now, member, peer);
   }
   return std::exchange(outbox_, {});
@@ -76,7 +77,7 @@
   Instant next = Instant{} + Span::micros(INT64_MAX);
   for (const auto& [member, peer] : peers_) {
     next = std::min(next, peer.heartbeat_at);
-    if (peer.acked < fact_log_.last()) next = std::min(next, peer.retransmit_at);
+    if (peer.acked < fact_log_.last_sequence()) next = std::min(next, peer.retransmit_at);
   }
   return next;
 }
@@ -113,7 +114,7 @@
   if (replica.complete())
     replica.confirmed =
         std::max(replica.confirmed.value_or(Instant{}), Instant{} + Span::micros(batch.echoed_clock));
-  replica.log.forget_gone(now, 0);
+  replica.log.purge_deleted(now, 0);
   acknowledge();
 }
 
@@ -129,7 +130,7 @@
       peer.acked = 0, peer.heartbeat_at = now;  // it has a replica of another generation, or none
       return;
     }
-    if (ack->up_to > fact_log_.last()) return;
+    if (ack->up_to > fact_log_.last_sequence()) return;
     peer.acked = ack->up_to, peer.in_flight = std::min(peer.in_flight, peer.acked);
   }
 }
@@ -143,7 +144,7 @@
     auto entries = replica.log.after(0);
     // Entries learned after the last full confirmation are dated back to it, which is the safe side.
     for (auto& entry : entries) entry.learned = std::min(entry.learned, *replica.confirmed);
-    sources.push_back(recovery::believe(entries, *replica.confirmed, now).acts);
+    sources.push_back(recovery::select_trusted(entries, *replica.confirmed, now).applicable);
   }
   return recovery::merge(std::move(sources));
 }
@@ -154,8 +155,8 @@
   const Entry* newest = nullptr;
   for (const auto& [member, replica] : replicas) {
     if (!replica.confirmed || now - *replica.confirmed > kLeaderTimeout) continue;
-    const auto it = replica.log.entries().find({Kind::group_table, group});
-    if (it == replica.log.entries().end() || it->second.gone || !it->second.fact.figures.contains("table"))
+    const auto it = replica.log.entries().find({FactKind::group_table, group});
+    if (it == replica.log.entries().end() || it->second.deleted || !it->second.fact.figures.contains("table"))
       continue;
     if (newest != nullptr && newest->learned >= it->second.learned) continue;
     leader = &replica, newest = &it->second;
@@ -165,11 +166,13 @@
   GroupTable result;
   const auto& entries = leader->log.entries();
   const std::string prefix = table + "/";
-  for (auto it = entries.lower_bound({Kind::table_lines, prefix});
-       it != entries.end() && it->first.kind == Kind::table_lines && it->first.name.starts_with(prefix); ++it)
-    if (!it->second.gone)
+  for (auto it = entries.lower_bound({FactKind::table_lines, prefix});
+       it != entries.end() && it->first.kind == FactKind::table_lines && it->first.name.starts_with(prefix);
+       ++it)
+    if (!it->second.deleted)
       for (const auto& [backend, weight] : it->second.fact.figures) result.weights[backend] = weight;
-  if (const auto it = entries.find({Kind::table_levels, table}); it != entries.end() && !it->second.gone)
+  if (const auto it = entries.find({FactKind::table_levels, table});
+      it != entries.end() && !it->second.deleted)
     for (const auto& [name, value] : it->second.fact.figures) {
       const auto at = name.find(' ');
       if (at == std::string::npos) continue;
--- a/src/cluster/replication.hpp
+++ b/src/cluster/replication.hpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "cluster/messages.hpp"
-#include "recovery/knowledge.hpp"
+#include "recovery/fact_log.hpp"
 
 namespace gorsemount::cluster {
 
@@ -36,7 +36,7 @@
   struct Replica {
     std::uint64_t generation = 0, up_to = 0, last = 0;
     std::optional<Instant> confirmed;  // every fact in it held at this time or later
-    recovery::Knowledge log;
+    recovery::FactLog log;
     [[nodiscard]] bool complete() const { return generation > 0 && up_to == last; }
   };
   [[nodiscard]] const std::map<MemberId, Replica>& replicas() const { return replicas_; }
@@ -65,7 +65,7 @@
   MemberId self_;
   ReplicationSettings settings_;
   std::uint64_t generation_;
-  recovery::Knowledge fact_log_;
+  recovery::FactLog fact_log_;
   std::map<MemberId, Peer> peers_;
   std::map<MemberId, Replica> replicas_;
   std::vector<recovery::Entry> received_;
--- a/src/limits/retry_budget.cpp
+++ b/src/limits/retry_budget.cpp
@@ -20,9 +20,9 @@
 
 }  // namespace
 
-FurtherTries allowed_retries(Effect effect, FurtherTries ordered) {
-  if (effect == Effect::side_effecting) return std::min(ordered, FurtherTries::after_proof);
-  if (effect == Effect::fingerprinted) return std::min(ordered, FurtherTries::one);
+RetryPolicy allowed_retries(Effect effect, RetryPolicy ordered) {
+  if (effect == Effect::side_effecting) return std::min(ordered, RetryPolicy::if_unprocessed);
+  if (effect == Effect::fingerprinted) return std::min(ordered, RetryPolicy::one);
   return ordered;
 }
 
--- a/src/limits/retry_budget.hpp
+++ b/src/limits/retry_budget.hpp
@@ -1,7 +1,8 @@
 // Limits the retries of the fleet to a share of its first tries over a window, divided among the forwarders,
 // so that the loss of a zone causes no retry storm. Each forwarder enforces its allocation locally; what some
 // leave unused is lent to those that need more. Whatever the budget, side-effecting invocations are retried
-// only with proof that the first try had no effect, and the budget grants no hedged requests. No I/O, no clock.
+// only with proof that the first try had no effect, and the budget grants no hedged requests. No I/O, no
+// clock.
 #pragma once
 
 #include <deque>
@@ -14,7 +15,7 @@
 namespace gorsemount::limits {
 
 // Caps the retries that are ordered for an operation by what its effect permits.
-[[nodiscard]] FurtherTries allowed_retries(Effect effect, FurtherTries ordered);
+[[nodiscard]] RetryPolicy allowed_retries(Effect effect, RetryPolicy ordered);
 
 class RetryBudget {
  public:
--- a/src/shared_fleet/cluster_adapter.cpp
+++ b/src/shared_fleet/cluster_adapter.cpp
@@ -2,15 +2,15 @@
 
 #include <utility>
 
-#include "recovery/belief.hpp"
+#include "recovery/fact_confidence.hpp"
 
 namespace gorsemount::shared_fleet {
 
 using coordinator::is_forwarder;
-using coordinator::kFirstForwarder;
+using coordinator::kFirstForwarderId;
 
 cluster::ShardId ClusterAdapter::shard_of(ProxyId proxy, const coordinator::Settings& settings) const {
-  return cluster_->shard_of(is_forwarder(proxy) ? settings.forwarders[proxy.value - kFirstForwarder].name
+  return cluster_->shard_of(is_forwarder(proxy) ? settings.forwarders[proxy.value - kFirstForwarderId].name
                                                 : settings.groups[proxy.value].name);
 }
 
@@ -20,7 +20,7 @@
   auto facts = cluster_->replication().trusted_entries(now);
   if (facts.empty()) return;
   update.recalled = facts.size();
-  update.inputs.insert(update.inputs.begin(), coordinator::Recalled{std::move(facts)});
+  update.inputs.insert(update.inputs.begin(), coordinator::FactsReceived{std::move(facts)});
 }
 
 ClusterUpdate ClusterAdapter::poll_leadership(Instant now, const coordinator::Settings& settings) {
@@ -32,10 +32,10 @@
     if (previous != led_groups_.end() && previous->second == led_here) continue;
     led_groups_[id] = led_here;
     if (led_here) add_recalled_facts(now, update);
-    update.inputs.emplace_back(coordinator::GroupLed{id, led_here});
+    update.inputs.emplace_back(coordinator::GroupLeadership{id, led_here});
   }
   for (std::size_t k = 0; k < settings.forwarders.size(); ++k) {
-    const ProxyId id{static_cast<std::uint16_t>(kFirstForwarder + k)};
+    const ProxyId id{static_cast<std::uint16_t>(kFirstForwarderId + k)};
     const auto term = cluster_->held_term(shard_of(id, settings), now);
     auto& previous = terms_[id];
     if (previous == term) continue;
@@ -51,17 +51,17 @@
   ClusterUpdate update;
   auto& replication = cluster_->replication();
   changed = replication.observe(now, core.facts()) > 0;
-  cluster_->suspend_rebalancing(core.zone_moves());
+  cluster_->suspend_rebalancing(core.zone_shift_in_progress());
   std::vector<recovery::Entry> immediate;
   for (auto& entry : replication.take_received())
-    if (recovery::acts_at_once(entry.subject.kind)) immediate.push_back(std::move(entry));
-  if (!immediate.empty()) update.inputs.emplace_back(coordinator::Recalled{std::move(immediate)});
+    if (recovery::applies_immediately(entry.subject.kind)) immediate.push_back(std::move(entry));
+  if (!immediate.empty()) update.inputs.emplace_back(coordinator::FactsReceived{std::move(immediate)});
   const auto& settings = core.settings();
   for (const auto& [group, led_here] : led_groups_) {
     if (led_here || group.value >= settings.groups.size()) continue;
     const auto table = cluster::leader_table(replication.replicas(), settings.groups[group.value].name, now);
     if (!table) continue;  // without contact to a leader the current table stays in use
-    coordinator::Followed followed{group, true, table->weights, {}};
+    coordinator::LeaderTable followed{group, true, table->weights, {}};
     for (const auto& operation : settings.operations)
       if (const auto level = table->levels.find(operation.name); level != table->levels.end())
         followed.levels.push_back(level->second);
--- a/tests/forwarders/plan_test.cpp
+++ b/tests/forwarders/plan_test.cpp
@@ -10,17 +10,17 @@
 namespace gorsemount::forwarders {
 namespace {
 
-using coordinator::WantedLine;
-using coordinator::WantedTable;
+using coordinator::DesiredLine;
+using coordinator::DesiredTable;
 
-WantedLine line(int k, double weight, bool cold = false) {
+DesiredLine line(int k, double weight, bool cold = false) {
   return {BackendId{static_cast<std::uint32_t>(k)}, "w" + std::to_string(k),
           *Endpoint::parse("127.0.0." + std::to_string(k + 1) + ":9000"), weight, cold};
 }
-WantedTable table(std::vector<WantedLine> lines) {
-  WantedTable t;
-  for (int k = 0; k < 20; ++k) t.known.push_back("w" + std::to_string(k));
-  t.parts.push_back({"read", std::move(lines), {}, -1});
+DesiredTable table(std::vector<DesiredLine> lines) {
+  DesiredTable t;
+  for (int k = 0; k < 20; ++k) t.known_backends.push_back("w" + std::to_string(k));
+  t.operations.push_back({"read", std::move(lines), {}, -1});
   return t;
 }
 Held after(const Held& held, const std::vector<Change>& changes) {
@@ -30,7 +30,7 @@
 }
 
 TEST(WholeWeights, SharesOfAHundredthAndTrialStepsSurvive) {
-  std::vector<WantedLine> lines;
+  std::vector<DesiredLine> lines;
   for (int k = 0; k < 16; ++k) lines.push_back(line(k, 3));
   lines[0].weight = 0.01;  // far below a step of the range
   lines[1].weight = 0.3, lines[2].weight = 0.5;
@@ -58,7 +58,7 @@
   for (int round = 0; round < 4000; ++round) {
     Held held;
     std::set<std::string> gone, cold;
-    std::vector<WantedLine> lines;
+    std::vector<DesiredLine> lines;
     for (int k = 0; k < 2 + upto(10); ++k) {
       const bool is_cold = upto(4) == 0;
       if (is_cold) cold.insert("w" + std::to_string(k));
@@ -220,9 +220,9 @@
 
 // The part of the retry budget on its way to a forwarder, and what it tried again on its way back.
 TEST(RetryBudget, GoesOutAsOneValueAndComesBackAsRedispatches) {
-  coordinator::WantedTable wanted;
+  coordinator::DesiredTable wanted;
   EXPECT_FALSE(values_of(wanted).contains("retries")) << "without a budget nothing is said";
-  wanted.retries = 0.35;
+  wanted.retry_ratio = 0.35;
   EXPECT_EQ(values_of(wanted).at("retries"), 350);
   const auto changes = plan({}, wanted, true);
   ASSERT_EQ(changes.size(), 1U);
--- a/tests/limits/retry_budget_test.cpp
+++ b/tests/limits/retry_budget_test.cpp
@@ -134,9 +134,10 @@
 
 TEST(RetryBudget, SideEffectingOperationsAreRetriedOnlyAfterProof) {
   for (const auto ordered :
-       {FurtherTries::none, FurtherTries::after_proof, FurtherTries::one, FurtherTries::two}) {
-    EXPECT_EQ(allowed_retries(Effect::side_effecting, ordered), std::min(ordered, FurtherTries::after_proof));
-    EXPECT_EQ(allowed_retries(Effect::fingerprinted, ordered), std::min(ordered, FurtherTries::one));
+       {RetryPolicy::none, RetryPolicy::if_unprocessed, RetryPolicy::one, RetryPolicy::two}) {
+    EXPECT_EQ(allowed_retries(Effect::side_effecting, ordered),
+              std::min(ordered, RetryPolicy::if_unprocessed));
+    EXPECT_EQ(allowed_retries(Effect::fingerprinted, ordered), std::min(ordered, RetryPolicy::one));
     EXPECT_EQ(allowed_retries(Effect::idempotent, ordered), ordered);
   }
 }
