--- a/bench/program_bench.cpp
+++ b/bench/program_bench.cpp
@@ -351,7 +351,7 @@
     front.publish(rig.published, rig.core.group_map());
     const auto file = (folder / "bench.h5").string();
     {
-      background::Background background{net::monotonic_now};
+      background::Executor background{net::monotonic_now};
       std::optional<record::Recorder> recorder;
       if (with) {
         recorder.emplace(
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -12,7 +12,7 @@
 #include "app/records.hpp"
 #include "app/roster_file.hpp"
 #include "app/store.hpp"
-#include "background/background.hpp"
+#include "background/executor.hpp"
 #include "cluster/cluster.hpp"
 #include "config/settings.hpp"
 #include "coordinator/baseline.hpp"
@@ -23,11 +23,11 @@
 #include "net/loop.hpp"
 #include "peers/links.hpp"
 #include "record/recorder.hpp"
-#include "recovery/belief.hpp"
+#include "recovery/fact_confidence.hpp"
 #include "runtime_api/command_server.hpp"
 #include "runtime_api/operators.hpp"
 #include "shared_fleet/part.hpp"
-#include "store/keeper.hpp"
+#include "store/store_writer.hpp"
 
 namespace gorsemount::app {
 
@@ -180,25 +180,26 @@
     if (s_.store_folder.empty()) return;
     try {
       store::StoreSettings settings;
-      settings.who = s_.name;
+      settings.owner = s_.name;
       if (!s_.store_key_file.empty()) settings.key = read_store_key(s_.store_key_file);
-      auto disk = store::open_folder(s_.store_folder);
+      auto disk = store::open_directory(s_.store_folder);
       const auto clocks = read_clocks();
       const auto loaded = store::load(*disk, settings, clocks);
       for (const auto& fault : loaded.faults)
         log_.event(log::Level::warning, "store_passed_over", {{"what", fault}});
-      recovery::Believed believed;
-      if (loaded.confirmed)
-        believed =
-            recovery::believe(loaded.entries, *loaded.confirmed, Instant{} + Span::micros(clocks.mono));
-      log_.event(log::Level::info, loaded.blank.empty() ? "store_read" : "store_blank",
-                 {{"facts", std::to_string(believed.acts.size())},
-                  {"hints", std::to_string(loaded.entries.size() - believed.acts.size())},
-                  {"age", loaded.age.span ? config::span_text(*loaded.age.span) : "unknown"},
-                  {"clocks", loaded.age.doubt},
-                  {"why", loaded.blank}});
-      std::vector<recovery::Entry> first = believed.acts;
-      if (!believed.acts.empty()) inputs_.emplace_back(coordinator::Recalled{std::move(believed.acts), true});
+      recovery::TrustedFacts believed;
+      if (loaded.confirmed_at)
+        believed = recovery::select_trusted(loaded.entries, *loaded.confirmed_at,
+                                            Instant{} + Span::micros(clocks.monotonic_us));
+      log_.event(log::Level::info, loaded.empty_reason.empty() ? "store_read" : "store_blank",
+                 {{"facts", std::to_string(believed.applicable.size())},
+                  {"hints", std::to_string(loaded.entries.size() - believed.applicable.size())},
+                  {"age", loaded.age.elapsed ? config::span_text(*loaded.age.elapsed) : "unknown"},
+                  {"clocks", loaded.age.clock_anomaly},
+                  {"why", loaded.empty_reason}});
+      std::vector<recovery::Entry> first = believed.applicable;
+      if (!believed.applicable.empty())
+        inputs_.emplace_back(coordinator::Recalled{std::move(believed.applicable), true});
       std::uint64_t sequence = 0;
       for (auto& e : first) e.sequence = ++sequence;
       keeper_.emplace(*background_, std::move(disk), std::move(settings), std::move(first), read_clocks,
@@ -212,7 +213,7 @@
   }
   void keep() {
     loop_.after(kTell, [this] {
-      keeper_->keep(core_.facts());
+      keeper_->submit(core_.facts());
       keep();
     });
   }
@@ -278,10 +279,10 @@
     for (const auto& c : background_->counters())
       rows.push_back({{"task", c.name},
                       {"runs", std::to_string(c.runs)},
-                      {"pieces", std::to_string(c.pieces)},
-                      {"longest_ms", ms(c.longest)},
-                      {"latest_ms", ms(c.latest)},
-                      {"all_s", fmt::format("{:.3f}", c.all.seconds())},
+                      {"pieces", std::to_string(c.steps)},
+                      {"longest_ms", ms(c.longest_step)},
+                      {"latest_ms", ms(c.max_delay)},
+                      {"all_s", fmt::format("{:.3f}", c.run_time.seconds())},
                       {"bytes", std::to_string(c.bytes)}});
     return rows;
   }
@@ -444,7 +445,7 @@
       if (look.entries || !look.faults.empty())
         loop_.post(
             [this, look = std::make_shared<RosterFile::Look>(std::move(look))] { heed(std::move(*look)); });
-      return background::Piece{n, true};
+      return background::StepResult{n, true};
     });
   }
 
@@ -485,7 +486,7 @@
     roster_.follow(s_.roster_file);
     background_->remove(roster_task_);
     watch_roster();
-    background_->ask_for(roster_task_);
+    background_->request_run(roster_task_);
     log_.event(log::Level::info, "reloaded", {{"groups", std::to_string(s_.core.groups.size())}});
   }
 
@@ -519,9 +520,9 @@
   std::optional<cluster::Cluster> cluster_;
   std::unique_ptr<peers::Links> links_;
   std::optional<shared_fleet::Part> part_;
-  std::optional<background::Background> background_;  // outlives those who work in it
+  std::optional<background::Executor> background_;  // outlives those who work in it
   std::optional<record::Recorder> recorder_;
-  std::optional<store::Keeper> keeper_;
+  std::optional<store::StoreWriter> keeper_;
   net::Loop::Timer cluster_wake_;
   runtime_api::Driver driver_;
   std::optional<runtime_api::Operators> operators_;
--- a/src/cluster/replication.hpp
+++ b/src/cluster/replication.hpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "cluster/types.hpp"
-#include "recovery/knowledge.hpp"
+#include "recovery/fact_log.hpp"
 
 namespace gorsemount::cluster {
 
@@ -35,7 +35,7 @@
   struct Copy {
     std::uint64_t start = 0, upto = 0, last = 0;
     std::optional<Instant> confirmed;  // all of it held at that time, or later
-    recovery::Knowledge known;
+    recovery::FactLog known;
     [[nodiscard]] bool whole() const { return start > 0 && upto == last; }
   };
   [[nodiscard]] const std::map<MemberId, Copy>& copies() const { return copies_; }
@@ -64,7 +64,7 @@
   MemberId self_;
   ReplicationSettings s_;
   std::uint64_t start_;
-  recovery::Knowledge own_;
+  recovery::FactLog own_;
   std::map<MemberId, Peer> peers_;
   std::map<MemberId, Copy> copies_;
   std::vector<recovery::Entry> news_;
--- a/src/coordinator/coordinator.cpp
+++ b/src/coordinator/coordinator.cpp
@@ -282,7 +282,7 @@
   if (zone && e.what == What::drain_zone && !e.anyway && spill_) {
     const auto z =
         static_cast<std::size_t>(std::find(s_.zones.begin(), s_.zones.end(), e.name) - s_.zones.begin());
-    if (!spill_->room_without(z))
+    if (!spill_->has_capacity_without(z))
       return fmt::format(
           "refused: the other zones have not shown room for what comes now; 'drain zone {} anyway' does it "
           "all the same",
--- a/src/coordinator/coordinator.hpp
+++ b/src/coordinator/coordinator.hpp
@@ -19,7 +19,7 @@
 #include "coordinator/types.hpp"
 #include "limits/fleet_limit.hpp"
 #include "limits/retry_budget.hpp"
-#include "spill/spill.hpp"
+#include "spillover/spillover_planner.hpp"
 
 namespace gorsemount::coordinator {
 
@@ -132,7 +132,7 @@
   void share_cuts();
   [[nodiscard]] std::vector<double> parts_of_cut(const Table& table, ZoneId proxies,
                                                  const std::vector<double>& in_table) const;
-  [[nodiscard]] spill::Trips trips(const std::vector<Event>& reports);
+  [[nodiscard]] spillover::ZoneLatencies trips(const std::vector<Event>& reports);
   [[nodiscard]] TablePtr spilled(TablePtr table, ZoneId proxies);
   [[nodiscard]] std::map<BackendId, double> lines_for(ProxyId forwarder, const Table& table) const;
   [[nodiscard]] TablePtr table_of_group(ProxyId group) const;
@@ -187,10 +187,10 @@
   std::map<TableId, std::pair<std::pair<std::uint64_t, std::uint64_t>, TablePtr>> guarded_;
   std::uint64_t guards_ = 0;  // grows when a guard may judge otherwise
   // Tables by zone of proxies, where flows between zones are decided.
-  std::optional<spill::Spill> spill_;
+  std::optional<spillover::SpilloverPlanner> spill_;
   std::vector<std::vector<double>> parts_of_zones_;
   std::vector<std::vector<int>> turn_to_;
-  std::deque<std::vector<spill::Problem::Class>> demands_;  // the last rounds'
+  std::deque<std::vector<spillover::FlowProblem::OperationDemand>> demands_;  // the last rounds'
   std::map<std::pair<TableId, ZoneId>, double> cut_shares_;
   std::map<std::pair<std::size_t, std::size_t>, std::deque<Span>> trips_;  // the last rounds'
   std::vector<bool> tiers_doubted_;
--- a/src/coordinator/remember.cpp
+++ b/src/coordinator/remember.cpp
@@ -9,8 +9,8 @@
 
 using recovery::Entry;
 using recovery::Fact;
+using recovery::FactKind;
 using recovery::Facts;
-using recovery::Kind;
 
 namespace {
 
@@ -72,50 +72,52 @@
   if (decide_.remember) {
     const Memory m = decide_.remember(now_);
     for (const auto& [zone, rung] : m.zones)
-      if (zone.value < s_.zones.size()) all[{Kind::zone_ladder, s_.zones[zone.value]}] = of_rung(rung, now_);
+      if (zone.value < s_.zones.size())
+        all[{FactKind::zone_ladder, s_.zones[zone.value]}] = of_rung(rung, now_);
     for (const auto& [key, rung] : m.links)
       if (key.first.value < s_.zones.size() && key.second.value < s_.zones.size())
-        all[{Kind::link_ladder, s_.zones[key.first.value] + ">" + s_.zones[key.second.value]}] =
+        all[{FactKind::link_ladder, s_.zones[key.first.value] + ">" + s_.zones[key.second.value]}] =
             of_rung(rung, now_);
     for (const auto& [id, rung] : m.backends)
-      if (rows_.contains(id)) all[{Kind::backend_ladder, name_at(id)}] = of_machine(id, of_rung(rung, now_));
+      if (rows_.contains(id))
+        all[{FactKind::backend_ladder, name_at(id)}] = of_machine(id, of_rung(rung, now_));
     Fact carried;
     for (std::size_t k = 0; k < m.able.size(); ++k) carried.figures[std::to_string(k)] = m.able[k];
-    if (!m.able.empty()) all[{Kind::carried, "fleet"}] = carried;
+    if (!m.able.empty()) all[{FactKind::carried, "fleet"}] = carried;
   }
   for (const auto& [id, row] : rows_) {
     if (!row.told) continue;
     if (row.told->availability == Availability::draining && !persons_.out(row.entry.name))
-      all[{Kind::drain, row.entry.name}] = of_machine(id, {});
+      all[{FactKind::drain, row.entry.name}] = of_machine(id, {});
     if (!warm(row) && row.told->availability == Availability::ready) {
       Fact cold = of_machine(id, {});
       cold.times["started"] = *row.told->started;
-      all[{Kind::cold_start, row.entry.name}] = cold;
+      all[{FactKind::cold_start, row.entry.name}] = cold;
     }
   }
   for (const auto& [proxy, seen] : attendance_.present()) {
-    all[{Kind::usual_rate, proxy_name(proxy)}].figures["rate"] = attendance_.usual_rate(proxy);
+    all[{FactKind::usual_rate, proxy_name(proxy)}].figures["rate"] = attendance_.usual_rate(proxy);
     if (!is_forwarder(proxy)) {
       const auto bound = bound_.find(proxy);
       if (bound != bound_.end())
-        all[{Kind::group_table, proxy_name(proxy)}].figures["table"] = bound->second.value;
+        all[{FactKind::group_table, proxy_name(proxy)}].figures["table"] = bound->second.value;
     }
   }
   for (const auto& [proxy, seen] : group_seen_)
     if (now_ - seen < s_.group_idle) {
       // In steps, so that it is news now and then and not with each lookup.
       const auto steps = (seen - Instant{}).micros() / kSeenNews.micros();
-      all[{Kind::group_seen, proxy_name(proxy)}].times["seen"] =
+      all[{FactKind::group_seen, proxy_name(proxy)}].times["seen"] =
           Instant{} + Span::micros(steps * kSeenNews.micros());
     }
   for (const auto& [proxy, part] : retries_.parts())
     if (std::abs(part - s_.retry_share) > 1e-9)
-      all[{Kind::further_tries, proxy_name(proxy)}].figures["part"] = part;
+      all[{FactKind::further_tries, proxy_name(proxy)}].figures["part"] = part;
   for (const auto& [proxy, version] : sent_)
-    all[{Kind::sent_table, proxy_name(proxy)}].figures["version"] = static_cast<double>(version);
+    all[{FactKind::sent_table, proxy_name(proxy)}].figures["version"] = static_cast<double>(version);
   for (const auto& [proxy, version] : holds_)
     if (version > 0)
-      all[{Kind::held_table, proxy_name(proxy)}].figures["version"] = static_cast<double>(version);
+      all[{FactKind::held_table, proxy_name(proxy)}].figures["version"] = static_cast<double>(version);
   std::set<TableId> of_groups;
   for (const auto& [proxy, table] : bound_)
     if (!is_forwarder(proxy)) of_groups.insert(table);
@@ -125,26 +127,27 @@
     const std::string number = std::to_string(id.value);
     for (const auto& [backend, weight] : it->second->lines)
       if (rows_.contains(backend))
-        all[{Kind::table_lines, number + "/" + std::to_string(backend.value % kParts)}]
+        all[{FactKind::table_lines, number + "/" + std::to_string(backend.value % kParts)}]
             .figures[name_at(backend)] = weight;
     Fact levels;
     for (std::size_t k = 0; k < it->second->levels.size() && k < s_.operations.size(); ++k) {
       levels.figures["level " + s_.operations[k].name] = it->second->levels[k].level;
       levels.figures["tries " + s_.operations[k].name] = static_cast<double>(it->second->levels[k].tries);
     }
-    if (!levels.figures.empty()) all[{Kind::table_levels, number}] = levels;
+    if (!levels.figures.empty()) all[{FactKind::table_levels, number}] = levels;
   }
   for (const auto& [name, w] : persons_.weights())
-    all[{Kind::person_weight, name}] = {
+    all[{FactKind::person_weight, name}] = {
         "", {{"weight", w.weight}}, {{"until", w.until}, {"ordered", w.ordered}}};
   for (const auto& [name, o] : persons_.outs())
-    all[{Kind::person_out, name}] = {"", {{"out", o.out ? 1 : 0}}, {{"ordered", o.ordered}}};
+    all[{FactKind::person_out, name}] = {"", {{"out", o.out ? 1 : 0}}, {{"ordered", o.ordered}}};
   for (const auto& [name, z] : persons_.zones())
-    all[{Kind::person_zone, name}] = {
+    all[{FactKind::person_zone, name}] = {
         "", {{"down", z.down ? 1 : 0}, {"from", z.from}}, {{"ordered", z.since}}};
   if (hold_ordered_)
-    all[{Kind::hold, s_.zones[s_.zone.value]}] = {"", {{"on", hold_ ? 1 : 0}}, {{"ordered", *hold_ordered_}}};
-  all[{Kind::fleet, "fleet"}].figures["backends"] = static_cast<double>(listed_);
+    all[{FactKind::hold, s_.zones[s_.zone.value]}] = {
+        "", {{"on", hold_ ? 1 : 0}}, {{"ordered", *hold_ordered_}}};
+  all[{FactKind::fleet, "fleet"}].figures["backends"] = static_cast<double>(listed_);
   return all;
 }
 
@@ -178,77 +181,77 @@
     const std::string& name = entry.subject.name;
     const auto ordered = time_of(f, "ordered");
     // What is gone says so only where somebody took an order back.
-    if (entry.gone) {
-      if (entry.subject.kind == Kind::person_zone) persons |= persons_.forget_zone(name, entry.learned);
+    if (entry.deleted) {
+      if (entry.subject.kind == FactKind::person_zone) persons |= persons_.forget_zone(name, entry.learned);
       continue;
     }
     switch (entry.subject.kind) {
-      case Kind::zone_ladder:
+      case FactKind::zone_ladder:
         if (const auto zone = zone_at(name))
           if (const auto rung = rung_of(f, now_)) memory.zones[*zone] = *rung;
         break;
-      case Kind::link_ladder: {
+      case FactKind::link_ladder: {
         const auto at = name.find('>');
         if (at == std::string::npos) break;
         const auto from = zone_at(name.substr(0, at)), to = zone_at(name.substr(at + 1));
         if (const auto rung = rung_of(f, now_); rung && from && to) memory.links[{*from, *to}] = *rung;
         break;
       }
-      case Kind::backend_ladder:
+      case FactKind::backend_ladder:
         past_[name].ladder = f;
         break;
-      case Kind::drain:
+      case FactKind::drain:
         past_[name].drain = f;
         break;
-      case Kind::cold_start:
+      case FactKind::cold_start:
         if (f.times.contains("started")) past_[name].cold = f;
         break;
-      case Kind::carried:
+      case FactKind::carried:
         for (const auto& [place, able] : f.figures)
           if (able > 0) memory.able.push_back(able);
         break;
-      case Kind::usual_rate:
+      case FactKind::usual_rate:
         if (const auto proxy = proxy_at(name))
           attendance_.recall(*proxy, std::clamp(figure(f, "rate", 0), 0.0, 1e6));
         break;
-      case Kind::further_tries:
+      case FactKind::further_tries:
         if (const auto proxy = proxy_at(name); proxy && is_forwarder(*proxy))
           retries_.recall(*proxy, figure(f, "part", s_.retry_share));
         break;
-      case Kind::sent_table:
+      case FactKind::sent_table:
         sent[name] = static_cast<std::uint64_t>(figure(f, "version", 0));
         break;
-      case Kind::held_table:
+      case FactKind::held_table:
         held[name] = static_cast<std::uint64_t>(figure(f, "version", 0));
         break;
-      case Kind::person_weight:
+      case FactKind::person_weight:
         if (const auto until = time_of(f, "until");
             until && ordered && *until > now_ && figure(f, "weight", 0) > 0)
           persons |= persons_.recall(name, Persons::Weight{figure(f, "weight", 1), *until, *ordered});
         break;
-      case Kind::person_out:
+      case FactKind::person_out:
         if (ordered) persons |= persons_.recall(name, Persons::Out{figure(f, "out", 0) > 0, *ordered});
         break;
-      case Kind::person_zone:
+      case FactKind::person_zone:
         if (ordered && zone_at(name))
           persons |= persons_.recall(
               name,
               Persons::Zone{figure(f, "down", 0) > 0, std::clamp(figure(f, "from", 1), 0.0, 1.0), *ordered});
         break;
-      case Kind::hold:
+      case FactKind::hold:
         if (ordered && (!hold_ordered_ || *hold_ordered_ < *ordered))
           hold_ = figure(f, "on", 0) > 0, hold_ordered_ = ordered;
         break;
-      case Kind::group_seen:
+      case FactKind::group_seen:
         if (const auto proxy = proxy_at(name);
             proxy && !is_forwarder(*proxy) && !led_elsewhere_.contains(*proxy))
           if (const auto when = time_of(f, "seen"); when && now_ - *when < s_.group_idle)
             absorb(LookedUp{*proxy});
         break;
-      case Kind::group_table:
-      case Kind::table_lines:
-      case Kind::table_levels:
-      case Kind::fleet:
+      case FactKind::group_table:
+      case FactKind::table_lines:
+      case FactKind::table_levels:
+      case FactKind::fleet:
         break;
     }
   }
--- a/src/coordinator/types.hpp
+++ b/src/coordinator/types.hpp
@@ -47,7 +47,7 @@
   std::vector<OperationInfo> operations;
   std::vector<Group> groups;  // the last one takes whoever fits nowhere else
   std::vector<Forwarder> forwarders;
-  bool spill = false;                  // flows by tiers of preference between zones (spill/spill.hpp)
+  bool spill = false;  // flows by tiers of preference between zones (spillover/spillover_planner.hpp)
   std::vector<std::vector<int>> tier;  // [proxy zone][backend zone]: 0 own, 1 near, 2 far
   double fleet_rate = 0;               // invocations a second that all forwarders together let in; 0: any
   double retry_share = 0;              // of first tries that forwarders may try again; 0: as the tables say
@@ -151,7 +151,7 @@
   Span lifetime;
   bool anyway = false;  // of a zone's drain: even if the others have not shown room for its work
 };
-// What another life or another controller knew, so far as it is believed (recovery/belief.hpp).
+// What another life or another controller knew, so far as it is believed (recovery/fact_confidence.hpp).
 struct Recalled {
   std::vector<recovery::Entry> facts;
   bool own = false;  // of this coordinator's life before: its forwarders hold what it ordered
--- a/src/lab/world/world.cpp
+++ b/src/lab/world/world.cpp
@@ -14,7 +14,7 @@
 #include "forwarders/plan.hpp"
 #include "lab/world/worker_model.hpp"
 #include "limits/retry_meter.hpp"
-#include "recovery/belief.hpp"
+#include "recovery/fact_confidence.hpp"
 #include "shared_fleet/part.hpp"
 
 namespace gorsemount::lab {
@@ -389,7 +389,7 @@
       auto entries = h.kept;
       const Instant confirmed = local(h) - (now - *h.kept_at) * h.rate;
       // As it stands on this life's clock.
-      give(h, coordinator::Recalled{recovery::believe(entries, confirmed, local(h)).acts, true});
+      give(h, coordinator::Recalled{recovery::select_trusted(entries, confirmed, local(h)).applicable, true});
     }
     give_roster(h);
     for (std::size_t k = 0; k < kBuckets; ++k)
--- a/src/shared_fleet/part.cpp
+++ b/src/shared_fleet/part.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "recovery/belief.hpp"
+#include "recovery/fact_confidence.hpp"
 
 namespace gorsemount::shared_fleet {
 
@@ -53,7 +53,7 @@
   cluster_->keep(core.zone_moves());
   std::vector<recovery::Entry> at_once;
   for (auto& entry : knowledge.take_news())
-    if (recovery::acts_at_once(entry.subject.kind)) at_once.push_back(std::move(entry));
+    if (recovery::applies_immediately(entry.subject.kind)) at_once.push_back(std::move(entry));
   if (!at_once.empty()) turn.inputs.emplace_back(coordinator::Recalled{std::move(at_once)});
   const auto& s = core.settings();
   for (const auto& [group, here] : groups_) {
--- a/tests/coordinator/remember_test.cpp
+++ b/tests/coordinator/remember_test.cpp
@@ -6,7 +6,7 @@
 
 using recovery::Entry;
 using recovery::Fact;
-using recovery::Kind;
+using recovery::FactKind;
 
 std::vector<Entry> entries_of(const recovery::Facts& facts, Instant learned) {
   std::vector<Entry> entries;
@@ -29,7 +29,7 @@
   one.seconds(4);
   ASSERT_EQ(one.weight(0, 2), 0);
   const auto facts = one.core.facts();
-  ASSERT_TRUE(facts.contains({Kind::backend_ladder, "w2"}));
+  ASSERT_TRUE(facts.contains({FactKind::backend_ladder, "w2"}));
   Rig blank{9}, two{9};
   blank.seconds(9), two.seconds(9);  // the same clock as the first one's
   EXPECT_EQ(blank.weight(0, 2), 1);
@@ -44,7 +44,7 @@
   Fact ladder{"",
               {{"share", 0}, {"falling", 0}, {"relapses", 1}},
               {{"next", rig.now + Span::seconds(6)}, {"changed", rig.now}}};
-  rig.step({Recalled{{{{Kind::zone_ladder, "b"}, ladder, rig.now, 1, false}}}});
+  rig.step({Recalled{{{{FactKind::zone_ladder, "b"}, ladder, rig.now, 1, false}}}});
   rig.seconds(2);
   EXPECT_EQ(rig.weight(0, 1), 0);
   EXPECT_TRUE(rig.core.zone_moves());
@@ -58,7 +58,7 @@
     Rig rig{9};
     Fact f{place, {{"share", 0}}, {{"next", rig.now + Span::seconds(9)}, {"changed", rig.now}}};
     if (started != 0) f.times["started"] = Instant::at_seconds(started);
-    rig.step({Recalled{{{{Kind::backend_ladder, "w1"}, f, rig.now, 1, false}}}});
+    rig.step({Recalled{{{{FactKind::backend_ladder, "w1"}, f, rig.now, 1, false}}}});
     rig.seconds(2);
     return rig.weight(0, 1);
   };
@@ -75,7 +75,7 @@
   rig.seconds(1.5);
   ASSERT_EQ(rig.weight(0, 4), 0);
   const auto facts = rig.core.facts();
-  ASSERT_TRUE(facts.contains({Kind::drain, "w4"}));
+  ASSERT_TRUE(facts.contains({FactKind::drain, "w4"}));
   // The next life: the list says ready, and the worker is not heard yet.
   Coordinator next{rig.s, module_of(rig.s)};
   auto e = next.step(rig.now, {Recalled{entries_of(facts, rig.now)}, RosterHeard{rig.roster}});
@@ -126,8 +126,8 @@
     Rig rig{9, with_forwarder()};
     rig.seconds(2);
     std::vector<Entry> known{
-        {{Kind::sent_table, "f0"}, {"", {{"version", 7}}, {}}, rig.now, 1, false},
-        {{Kind::held_table, "f0"}, {"", {{"version", half ? 6.0 : 7.0}}, {}}, rig.now, 2, false}};
+        {{FactKind::sent_table, "f0"}, {"", {{"version", 7}}, {}}, rig.now, 1, false},
+        {{FactKind::held_table, "f0"}, {"", {{"version", half ? 6.0 : 7.0}}, {}}, rig.now, 2, false}};
     rig.step({Recalled{known}, ForwarderJoined{f, true}});
     rig.seconds(1);
     ASSERT_FALSE(rig.deliveries.empty());
@@ -183,8 +183,8 @@
   s.retry_share = 0.2, s.forwarders = {{"f1", ZoneId{0}, {}, 10}};
   Rig rig{6, s};
   const ProxyId f1{kFirstForwarder};
-  rig.step({Recalled{{{{recovery::Kind::further_tries, "f1"}, {"", {{"part", 0.6}}, {}}, rig.now, 1, false}},
-                     true}});
+  rig.step({Recalled{
+      {{{recovery::FactKind::further_tries, "f1"}, {"", {{"part", 0.6}}, {}}, rig.now, 1, false}}, true}});
   std::vector<double> sent;
   const auto heed = [&](const Effects& e) {
     for (const auto& d : e.deliveries)
--- a/tests/record/record_test.cpp
+++ b/tests/record/record_test.cpp
@@ -51,7 +51,7 @@
           ProxyId{30000}, {{BackendId{1}, OperationId{0}, 5, 1, Span::seconds(0.2)}}, {{OperationId{0}, 6}}},
       ForwarderHolds{ProxyId{30000}, 7},
       PersonOrders{PersonOrders::What::set_weight, "w1", 0.5, Span::seconds(60)},
-      Recalled{{{{recovery::Kind::hold, "a"}, {"", {{"on", 1}}, {}}, Instant::at_seconds(2), 1, false}}},
+      Recalled{{{{recovery::FactKind::hold, "a"}, {"", {{"on", 1}}, {}}, Instant::at_seconds(2), 1, false}}},
       GroupLed{ProxyId{0}, false},
       Followed{ProxyId{0}, true, {{"w1", 0.5}}, {{1, 0.75}}}};
 }
@@ -194,7 +194,7 @@
   EXPECT_EQ(detail_for(80, 100), Detail::no_inputs);
   EXPECT_EQ(detail_for(100, 100), Detail::nothing);
   const Folder folder;
-  background::Background background{net::monotonic_now};
+  background::Executor background{net::monotonic_now};
   EXPECT_THROW(
       (Recorder{
           background, {folder.at("nowhere/a.h5"), 1U << 30U, 64}, {}, Instant{}, [](const std::string&) {}}),
@@ -222,7 +222,7 @@
   const auto settings = config::read_settings(header.settings, "s", findings);
   ASSERT_TRUE(findings.faults.empty()) << findings.faults.front().text();
   {
-    background::Background background{net::monotonic_now};
+    background::Executor background{net::monotonic_now};
     Recorder recorder{
         background, {folder.at("a.h5"), 1U << 30U, 100000}, header, Instant{}, [](const std::string&) {}};
     Rig rig{9, settings.core};
