--- a/src/background/executor.hpp
+++ b/src/background/executor.hpp
@@ -1,5 +1,5 @@
-// Two threads that do a program's background work in the scheduler's order: writing, snapshots, checks,
-// recording, reading files that changed. Whoever answers hands over and goes on.
+// Runs a program's background tasks (writes, snapshots, verification, recording, file watching) on two
+// threads, in the order that the scheduler chooses, so that request handling never waits for them.
 #pragma once
 
 #include <condition_variable>
@@ -14,7 +14,7 @@
 
 struct StepResult {
   std::uint64_t bytes = 0;
-  bool done = true;  // else it is called again when its turn comes
+  bool done = true;  // otherwise the task is called again when it is next scheduled
 };
 
 class Executor {
@@ -22,16 +22,16 @@
   using Clock = std::function<Instant()>;
   using Work = std::function<StepResult()>;
   explicit Executor(Clock clock);
-  ~Executor();  // all tasks are to be removed before
+  ~Executor();  // all tasks must have been removed
   Executor(const Executor&) = delete;
   Executor& operator=(const Executor&) = delete;
 
-  // `work` is called from a thread of ours, never from two at a time. What it throws ends the program: a task
-  // knows best what a fault of its means.
+  // `work` runs on one of the executor's threads, never on both at a time. An exception that it lets escape
+  // terminates the program: only the task knows how to handle its own failures.
   TaskId add(Task task, Work work);
   void request_run(TaskId task);
-  // Never called again from here on; waits for a piece that is under way. Not from within the task's own
-  // work.
+  // Waits for a step in progress; the task is never called again afterwards. Must not be called from the
+  // task's own work.
   void remove(TaskId task);
   [[nodiscard]] std::vector<Scheduler::Counters> counters() const;
 
@@ -39,11 +39,11 @@
   void run(Lane lane);
 
   Clock clock_;
-  mutable std::mutex lock_;
+  mutable std::mutex mutex_;
   std::condition_variable changed_;
   Scheduler scheduler_;
   std::vector<Work> work_;  // by task
-  bool stop_ = false;
+  bool stopping_ = false;
   std::vector<std::thread> threads_;
 };
 
--- a/src/recovery/age.hpp
+++ b/src/recovery/age.hpp
@@ -1,5 +1,5 @@
-// Decides how old a memory is, from three clocks of which two may lie: the monotonic one, which counts only
-// within one boot, and the wall clock, which people and networks move.
+// Computes the age of stored facts from two clock readings. The monotonic clock counts only within one boot;
+// the wall clock may have been set by an operator or by NTP.
 #pragma once
 
 #include <optional>
@@ -10,13 +10,13 @@
 namespace gorsemount::recovery {
 
 struct ClockReading {
-  std::string boot_id;            // of the machine
-  std::int64_t monotonic_us = 0;  // micros since then
-  std::int64_t wall_us = 0;       // micros since 1970
+  std::string boot_id;
+  std::int64_t monotonic_us = 0;  // since boot
+  std::int64_t wall_us = 0;       // since the Unix epoch
 };
 struct Age {
-  std::optional<Span> elapsed;  // absent: nobody can tell, so nothing acts
-  std::string clock_anomaly;    // what is odd about the clocks; empty: nothing
+  std::optional<Span> elapsed;  // absent: unknown, so no stored fact is applied
+  std::string clock_anomaly;    // empty: none
 };
 [[nodiscard]] Age age_of(const ClockReading& then, const ClockReading& now);
 
--- a/src/recovery/codec.cpp
+++ b/src/recovery/codec.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-constexpr std::size_t kFiguresMost = 4096;        // of one fact
-constexpr std::size_t kNameMost = 512;            // bytes
-constexpr std::int64_t kMicrosMost = 1LL << 52U;  // a hundred years and more: beyond it no sum is safe
+constexpr std::size_t kMaxFigures = 4096;  // per fact
+constexpr std::size_t kMaxNameBytes = 512;
+constexpr std::int64_t kMaxMicros = 1LL << 52U;  // over a hundred years; prevents overflow in sums
 
-bool fits(const flatbuffers::String* s) { return s == nullptr || s->size() <= kNameMost; }
-bool fits(std::int64_t micros) { return micros > -kMicrosMost && micros < kMicrosMost; }
+bool within_limits(const flatbuffers::String* s) { return s == nullptr || s->size() <= kMaxNameBytes; }
+bool within_limits(std::int64_t micros) { return micros > -kMaxMicros && micros < kMaxMicros; }
 
 }  // namespace
 
@@ -41,7 +41,7 @@
 }
 
 std::variant<std::vector<Entry>, std::string> decode(std::string_view bytes, Instant base) {
-  // FlatBuffers reads in place and wants alignment; the bytes may stand anywhere.
+  // FlatBuffers requires an aligned buffer; the input may not be aligned.
   const std::vector<std::uint64_t> words = [&] {
     std::vector<std::uint64_t> copy((bytes.size() + 7) / 8);
     if (!bytes.empty()) std::copy(bytes.begin(), bytes.end(), reinterpret_cast<char*>(copy.data()));
@@ -50,31 +50,32 @@
   const auto* data = reinterpret_cast<const std::uint8_t*>(words.data());
   flatbuffers::Verifier verifier{data, bytes.size(), 16,
                                  static_cast<flatbuffers::uoffset_t>(bytes.size() + 16)};
-  if (bytes.size() < 8 || !wire::VerifyBatchBuffer(verifier)) return std::string{"not a batch of facts"};
+  if (bytes.size() < 8 || !wire::VerifyBatchBuffer(verifier))
+    return std::string{"not a valid batch of facts"};
   std::vector<Entry> entries;
   const auto* rows = wire::GetBatch(data)->entries();
   if (rows == nullptr) return entries;
   for (const auto* row : *rows) {
     const std::string at = "entry " + std::to_string(entries.size());
     if (row->sequence() == 0) return at + ": no sequence";
-    if (!fits(row->name()) || !fits(row->instance())) return at + ": a name that is too long";
-    if (!fits(row->learned())) return at + ": a time out of range";
+    if (!within_limits(row->name()) || !within_limits(row->instance())) return at + ": name too long";
+    if (!within_limits(row->learned())) return at + ": time out of range";
     Entry e;
     e.sequence = row->sequence(), e.deleted = row->gone(), e.learned = base + Span::micros(row->learned());
-    // A kind of a later version: nothing that we could act on.
+    // A kind from a later version is skipped.
     if (row->kind() >= kFactKindCount) continue;
     e.subject = {static_cast<FactKind>(row->kind()), row->name()->str()};
     if (row->instance() != nullptr) e.fact.instance = row->instance()->str();
     if (row->figures() != nullptr) {
-      if (row->figures()->size() > kFiguresMost) return at + ": too many figures";
+      if (row->figures()->size() > kMaxFigures) return at + ": too many figures";
       for (const auto* f : *row->figures()) {
-        if (!std::isfinite(f->value()) || !fits(f->name())) return at + ": a figure out of range";
+        if (!std::isfinite(f->value()) || !within_limits(f->name())) return at + ": figure out of range";
         e.fact.figures[f->name()->str()] = f->value();
       }
     }
     if (row->times() != nullptr)
       for (const auto* t : *row->times()) {
-        if (!fits(t->micros()) || !fits(t->name())) return at + ": a time out of range";
+        if (!within_limits(t->micros()) || !within_limits(t->name())) return at + ": time out of range";
         e.fact.times[t->name()->str()] = base + Span::micros(t->micros());
       }
     entries.push_back(std::move(e));
--- a/src/recovery/codec.hpp
+++ b/src/recovery/codec.hpp
@@ -1,5 +1,5 @@
-// Facts to bytes and back (FlatBuffers, facts.fbs). Times are written as spans from `base`, so that clocks
-// are never compared.
+// Encodes facts as FlatBuffers (facts.fbs). Times are stored as offsets from `base`, so that clocks of
+// different hosts are never compared.
 #pragma once
 
 #include <string>
@@ -12,8 +12,7 @@
 namespace gorsemount::recovery {
 
 [[nodiscard]] std::string encode(const std::vector<Entry>& entries, Instant base);
-// What is wrong with the bytes, in place of entries: nothing of a batch is taken that is not whole and in
-// range.
+// Returns the entries, or an error text; a batch with any malformed or out-of-range entry is rejected whole.
 [[nodiscard]] std::variant<std::vector<Entry>, std::string> decode(std::string_view bytes, Instant base);
 
 }  // namespace gorsemount::recovery
--- a/src/recovery/fact_confidence.cpp
+++ b/src/recovery/fact_confidence.cpp
@@ -7,32 +7,32 @@
 
 namespace {
 
-constexpr double kActs = 0.25;      // two half-lives: what is left after that is more often wrong than right
-constexpr double kHint = 1.0 / 64;  // six
-constexpr double kOutMost = 0.4;    // the module's own panic bound
+constexpr double kMinApply = 0.25;     // two half-lives: beyond that a fact is more often wrong than right
+constexpr double kMinHint = 1.0 / 64;  // six half-lives
+constexpr double kMaxExcludedShare = 0.4;  // the policy module's panic threshold
 
-constexpr double kMinute = 60, kHour = 3600, kDay = 86400;
+constexpr double kMinuteSeconds = 60, kHourSeconds = 3600, kDaySeconds = 86400;
 
 }  // namespace
 
-// By nature. A ladder's longest hold is 80 s, its climb 120 s: after two minutes it would be whole or nearly.
-// Capacity changes with releases and with hardware, by the day's work; rates have the week's pattern. A drain
-// and a person's order stand till something says otherwise or their own time is over; but no order outlives a
-// shift and the next unseen.
+// Reasons for the half-lives: a ladder is held for at most 80 s and recovers within 120 s, so it is restored
+// or nearly so after two minutes. Capacity changes with releases and hardware, within a working day; rates
+// follow a weekly pattern. A drain or an operator's command holds until revoked or expired, but not beyond
+// one shift and the next without being seen.
 Span half_life(FactKind kind) {
   switch (kind) {
     case FactKind::zone_ladder:
     case FactKind::backend_ladder:
     case FactKind::link_ladder:
-      return Span::seconds(kMinute);
+      return Span::seconds(kMinuteSeconds);
     case FactKind::cold_start:
-      return Span::seconds(5 * kMinute);
+      return Span::seconds(5 * kMinuteSeconds);
     case FactKind::drain:
-      return Span::seconds(kHour);
+      return Span::seconds(kHourSeconds);
     case FactKind::carried:
-      return Span::seconds(4 * kHour);
+      return Span::seconds(4 * kHourSeconds);
     case FactKind::usual_rate:
-      return Span::seconds(3 * kDay);
+      return Span::seconds(3 * kDaySeconds);
     case FactKind::sent_table:
     case FactKind::held_table:
     case FactKind::further_tries:
@@ -41,50 +41,52 @@
     case FactKind::person_out:
     case FactKind::person_zone:
     case FactKind::hold:
-      return Span::seconds(8 * kHour);
+      return Span::seconds(8 * kHourSeconds);
     case FactKind::group_seen:
     case FactKind::group_table:
     case FactKind::table_lines:
     case FactKind::table_levels:
       return Span::seconds(15);
     case FactKind::fleet:
-      return Span::seconds(kHour);
+      return Span::seconds(kHourSeconds);
   }
   return {};
 }
 
-double trust(FactKind kind, Span age) {
+double confidence(FactKind kind, Span age) {
   if (age < Span{}) return 0;
   return std::exp2(-age.seconds() / half_life(kind).seconds());
 }
 
 FactUse classify(FactKind kind, Span age) {
-  const double t = trust(kind, age);
-  return t >= kActs ? FactUse::apply : t >= kHint || age < Span{} ? FactUse::hint : FactUse::ignore;
+  const double value = confidence(kind, age);
+  return value >= kMinApply                  ? FactUse::apply
+         : value >= kMinHint || age < Span{} ? FactUse::hint
+                                             : FactUse::ignore;
 }
 
-TrustedFacts select_trusted(const std::vector<Entry>& entries, Instant confirmed, Instant now) {
-  TrustedFacts b;
-  double backends = 0, out = 0;
+TrustedFacts select_trusted(const std::vector<Entry>& entries, Instant confirmed_at, Instant now) {
+  TrustedFacts facts;
+  double backends = 0, excluded = 0;
   for (const auto& e : entries) {
     if (e.deleted) continue;
     if (e.subject.kind == FactKind::fleet)
       if (const auto n = e.fact.figures.find("backends"); n != e.fact.figures.end()) backends = n->second;
     if (e.subject.kind == FactKind::backend_ladder)
       if (const auto share = e.fact.figures.find("share"); share != e.fact.figures.end())
-        out += 1 - std::clamp(share->second, 0.0, 1.0);
+        excluded += 1 - std::clamp(share->second, 0.0, 1.0);
   }
-  b.too_many_excluded = out > kOutMost * backends;
+  facts.too_many_excluded = excluded > kMaxExcludedShare * backends;
   for (const auto& e : entries) {
-    FactUse weight = e.deleted ? FactUse::ignore : classify(e.subject.kind, now - confirmed);
-    // Learned after it was confirmed: two clocks, or a clock that went back.
-    if (weight == FactUse::apply && e.learned > confirmed) weight = FactUse::hint;
-    if (weight == FactUse::apply && e.subject.kind == FactKind::backend_ladder && b.too_many_excluded)
-      weight = FactUse::hint;
-    if (weight == FactUse::apply) b.applicable.push_back(e);
-    if (weight == FactUse::hint) b.hints.push_back(e);
+    FactUse use = e.deleted ? FactUse::ignore : classify(e.subject.kind, now - confirmed_at);
+    // Learned after its confirmation: the times are from two clocks, or a clock went backwards.
+    if (use == FactUse::apply && e.learned > confirmed_at) use = FactUse::hint;
+    if (use == FactUse::apply && e.subject.kind == FactKind::backend_ladder && facts.too_many_excluded)
+      use = FactUse::hint;
+    if (use == FactUse::apply) facts.applicable.push_back(e);
+    if (use == FactUse::hint) facts.hints.push_back(e);
   }
-  return b;
+  return facts;
 }
 
 bool applies_immediately(FactKind kind) {
@@ -106,13 +108,13 @@
     for (auto& e : source) {
       const auto [it, fresh] = merged.try_emplace(e.subject, e);
       if (fresh) continue;
-      Entry& was = it->second;
+      Entry& kept = it->second;
       const bool ladder = e.subject.kind <= FactKind::link_ladder;
       const auto share = [](const Entry& x) {
         const auto s = x.fact.figures.find("share");
         return s == x.fact.figures.end() ? 1.0 : s->second;
       };
-      if (ladder ? share(e) < share(was) : e.learned > was.learned) was = e;
+      if (ladder ? share(e) < share(kept) : e.learned > kept.learned) kept = e;
     }
   std::vector<Entry> all;
   for (auto& [subject, e] : merged) all.push_back(std::move(e));
--- a/src/recovery/fact_confidence.hpp
+++ b/src/recovery/fact_confidence.hpp
@@ -1,5 +1,5 @@
-// Decides what a remembered fact is worth: each kind ages by its nature, and acts only while it is trusted.
-// What is older is a hint for people; what is older still is nothing.
+// Rates how far a stored fact can still be trusted. Confidence decays with a half-life per kind of fact: a
+// fact is applied while confidence is high, is then kept as a hint for operators, and is finally ignored.
 #pragma once
 
 #include <vector>
@@ -8,8 +8,8 @@
 
 namespace gorsemount::recovery {
 
-// From 1 down to 0 by the kind's half-life. An age below 0 is a clock that lies: 0.
-[[nodiscard]] double trust(FactKind kind, Span age);
+// From 1 down to 0 by the kind's half-life; 0 for a negative age, which means a wrong clock.
+[[nodiscard]] double confidence(FactKind kind, Span age);
 [[nodiscard]] Span half_life(FactKind kind);
 
 enum class FactUse { apply, hint, ignore };
@@ -17,18 +17,19 @@
 
 struct TrustedFacts {
   std::vector<Entry> applicable, hints;
-  bool too_many_excluded = false;  // backends' ladders were put back to hints: see select_trusted()
+  bool too_many_excluded = false;  // backend ladders were downgraded to hints: see select_trusted()
 };
-// Of facts that were last known to hold at `confirmed`. A memory in which over two fifths of the backends are
-// out is likelier wrong than right, as in the module; then no backend's ladder acts.
-[[nodiscard]] TrustedFacts select_trusted(const std::vector<Entry>& entries, Instant confirmed, Instant now);
+// Sorts facts that were last confirmed at `confirmed_at`. If they exclude more than two fifths of the
+// backends they are more likely wrong than right, as in the policy module; no backend ladder is applied then.
+[[nodiscard]] TrustedFacts select_trusted(const std::vector<Entry>& entries, Instant confirmed_at,
+                                          Instant now);
 
-// What a person ordered, or a client asked, at one controller holds at all of them as soon as they hear of
-// it; the rest waits till somebody takes over.
+// Whether a fact from another controller applies on receipt: operator commands and client lookups do, the
+// rest is used only when a new leader takes over.
 [[nodiscard]] bool applies_immediately(FactKind kind);
 
-// Of one subject from several sources the one confirmed last; of ladders the lowest share. For a new leader
-// that has heard several controllers.
+// Merges the entries of several controllers for a new leader: the latest entry of each subject, and for
+// ladders the one with the lowest share.
 [[nodiscard]] std::vector<Entry> merge(std::vector<std::vector<Entry>> sources);
 
 }  // namespace gorsemount::recovery
--- a/src/recovery/fact_log.cpp
+++ b/src/recovery/fact_log.cpp
@@ -9,18 +9,21 @@
 
 namespace {
 
-const Span kTimeNoise = Span::seconds(0.25);  // a start is reckoned from two readings; they differ by a trip
-constexpr double kRateNoise = 0.1;            // measured rates move by that much from round to round
-const Span kGoneKept = Span::seconds(600);    // as long as the core remembers a backend that left
-
-bool measured(FactKind kind) {
+// A start time is computed from two readings that differ by network latency.
+const Span kStartTimeNoise = Span::seconds(0.25);
+// Measured rates vary by this much between rounds.
+constexpr double kRateNoise = 0.1;
+// As long as the coordinator keeps a backend that left.
+const Span kTombstoneLifetime = Span::seconds(600);
+
+bool is_measured(FactKind kind) {
   return kind == FactKind::usual_rate || kind == FactKind::carried || kind == FactKind::further_tries;
 }
 
-bool same(FactKind kind, const Fact& a, const Fact& b) {
+bool equivalent(FactKind kind, const Fact& a, const Fact& b) {
   if (a.instance != b.instance || a.figures.size() != b.figures.size() || a.times.size() != b.times.size())
     return false;
-  const double noise = measured(kind) ? kRateNoise : 1e-9;
+  const double noise = is_measured(kind) ? kRateNoise : 1e-9;
   for (const auto& [name, figure] : a.figures) {
     const auto it = b.figures.find(name);
     if (it == b.figures.end()) return false;
@@ -29,7 +32,8 @@
   }
   for (const auto& [name, time] : a.times) {
     const auto it = b.times.find(name);
-    if (it == b.times.end() || it->second - time > kTimeNoise || time - it->second > kTimeNoise) return false;
+    if (it == b.times.end() || it->second - time > kStartTimeNoise || time - it->second > kStartTimeNoise)
+      return false;
   }
   return true;
 }
@@ -46,54 +50,56 @@
   return names[static_cast<std::size_t>(kind)];
 }
 
-void FactLog::write(Entry entry) {
-  if (const auto was = entries_.find(entry.subject); was != entries_.end())
-    order_.erase(was->second.sequence);
-  last_ = std::max(last_, entry.sequence);
-  order_.insert_or_assign(entry.sequence, entry.subject);
+void FactLog::append(Entry entry) {
+  if (const auto found = entries_.find(entry.subject); found != entries_.end())
+    by_sequence_.erase(found->second.sequence);
+  last_sequence_ = std::max(last_sequence_, entry.sequence);
+  by_sequence_.insert_or_assign(entry.sequence, entry.subject);
   Subject key = entry.subject;
   entries_.insert_or_assign(std::move(key), std::move(entry));
 }
 
-std::size_t FactLog::observe(Instant now, const Facts& present) {
-  std::size_t wrote = 0;
-  for (const auto& [subject, fact] : present) {
-    const auto was = entries_.find(subject);
-    if (was != entries_.end() && !was->second.deleted && same(subject.kind, was->second.fact, fact)) continue;
-    write({subject, fact, now, last_ + 1, false});
-    ++wrote;
+std::size_t FactLog::observe(Instant now, const Facts& current) {
+  std::size_t appended = 0;
+  for (const auto& [subject, fact] : current) {
+    const auto found = entries_.find(subject);
+    if (found != entries_.end() && !found->second.deleted &&
+        equivalent(subject.kind, found->second.fact, fact))
+      continue;
+    append({subject, fact, now, last_sequence_ + 1, false});
+    ++appended;
   }
-  std::vector<Subject> lost;
+  std::vector<Subject> missing;
   for (const auto& [subject, entry] : entries_)
-    if (!entry.deleted && !present.contains(subject)) lost.push_back(subject);
-  for (auto& subject : lost) {
-    Entry entry{std::move(subject), {}, now, last_ + 1, true};
+    if (!entry.deleted && !current.contains(subject)) missing.push_back(subject);
+  for (auto& subject : missing) {
+    Entry entry{std::move(subject), {}, now, last_sequence_ + 1, true};
     entry.fact.instance = entries_.at(entry.subject).fact.instance;
-    write(std::move(entry));
-    ++wrote;
+    append(std::move(entry));
+    ++appended;
   }
-  bound(now);
-  return wrote;
+  enforce_limit(now);
+  return appended;
 }
 
 void FactLog::put(Entry entry) {
   const Instant now = entry.learned;
-  write(std::move(entry));
-  bound(now);
+  append(std::move(entry));
+  enforce_limit(now);
 }
 
-std::vector<Entry> FactLog::after(std::uint64_t sequence, std::size_t most) const {
+std::vector<Entry> FactLog::after(std::uint64_t sequence, std::size_t limit) const {
   std::vector<Entry> found;
-  for (auto it = order_.upper_bound(sequence); it != order_.end() && found.size() < most; ++it)
+  for (auto it = by_sequence_.upper_bound(sequence); it != by_sequence_.end() && found.size() < limit; ++it)
     found.push_back(entries_.at(it->second));
   return found;
 }
 
-void FactLog::purge_deleted(Instant now, std::uint64_t told) {
+void FactLog::purge_deleted(Instant now, std::uint64_t acknowledged) {
   for (auto it = entries_.begin(); it != entries_.end();) {
     const Entry& e = it->second;
-    if (e.deleted && (e.sequence <= told || now - e.learned > kGoneKept)) {
-      order_.erase(e.sequence);
+    if (e.deleted && (e.sequence <= acknowledged || now - e.learned > kTombstoneLifetime)) {
+      by_sequence_.erase(e.sequence);
       it = entries_.erase(it);
     } else {
       ++it;
@@ -101,19 +107,20 @@
   }
 }
 
-// Guards against names that come and go for ever: what is gone goes first, then what is trusted least.
-void FactLog::bound(Instant now) {
-  if (entries_.size() <= most_) return;
-  purge_deleted(now, last_);
-  if (entries_.size() <= most_) return;
-  std::vector<std::pair<double, std::uint64_t>> worth;
+// Keeps the log bounded if names come and go indefinitely: removes tombstones first, then the least trusted
+// entries.
+void FactLog::enforce_limit(Instant now) {
+  if (entries_.size() <= max_entries_) return;
+  purge_deleted(now, last_sequence_);
+  if (entries_.size() <= max_entries_) return;
+  std::vector<std::pair<double, std::uint64_t>> by_confidence;
   for (const auto& [subject, e] : entries_)
-    worth.emplace_back(trust(subject.kind, now - e.learned), e.sequence);
-  std::sort(worth.begin(), worth.end());
-  for (std::size_t k = 0; entries_.size() > most_; ++k) {
-    const auto it = order_.find(worth[k].second);
+    by_confidence.emplace_back(confidence(subject.kind, now - e.learned), e.sequence);
+  std::sort(by_confidence.begin(), by_confidence.end());
+  for (std::size_t k = 0; entries_.size() > max_entries_; ++k) {
+    const auto it = by_sequence_.find(by_confidence[k].second);
     entries_.erase(it->second);
-    order_.erase(it);
+    by_sequence_.erase(it);
   }
 }
 
--- a/src/recovery/facts.hpp
+++ b/src/recovery/facts.hpp
@@ -1,5 +1,5 @@
-// What is worth keeping longer than one process, or worth telling another controller: facts by kind and name,
-// in plain types. No I/O, no clock.
+// Facts that are persisted across restarts or replicated to other controllers, keyed by kind and name. Plain
+// data: no I/O, no clock.
 #pragma once
 
 #include <compare>
@@ -17,12 +17,11 @@
   link_ladder,     // by "FROM>TO", zones
   cold_start,      // by backend; times: started
   drain,           // by backend
-  carried,         // of the fleet: what full use of it has carried
-  usual_rate,      // by proxy; invocations a second
-  sent_table,      // by forwarder; the version that it was sent
-  held_table,      // by forwarder; the version that it last said it holds
-  further_tries,   // by forwarder; the part of its first tries that it may try again, where that is not the
-                   // usual
+  carried,         // fleet-wide: the throughput measured at full utilization
+  usual_rate,      // by proxy; invocations per second
+  sent_table,      // by forwarder; the last version sent to it
+  held_table,      // by forwarder; the last version that it reported to have applied
+  further_tries,   // by forwarder; its retry ratio, where it differs from the configured one
   person_weight,   // by backend; times: until, ordered
   person_out,      // by backend; times: ordered
   person_zone,     // by zone; times: since, ordered
@@ -31,7 +30,7 @@
   group_table,     // by group; the number of its table
   table_lines,     // by "TABLE/PART"; figures: backend to weight
   table_levels,    // by table; figures: level and tries by operation
-  fleet            // how many backends there are
+  fleet            // number of backends
 };
 inline constexpr std::size_t kFactKindCount = 19;
 [[nodiscard]] const char* name_of(FactKind kind);
@@ -43,19 +42,19 @@
 };
 
 struct Fact {
-  std::string instance;  // of which machine it speaks; of another one it says nothing
+  std::string instance;  // the host it was learned of; it does not apply to another host of that name
   std::map<std::string, double> figures;
-  std::map<std::string, Instant> times;  // on the clock of whoever holds the fact
+  std::map<std::string, Instant> times;  // on the local clock
 };
 using Facts = std::map<Subject, Fact>;
 
-// A fact as it stands in a log: each subject once, at its newest sequence.
+// A fact in a log, which holds one entry per subject: the one with the highest sequence.
 struct Entry {
   Subject subject;
   Fact fact;
-  Instant learned;             // when it became so
-  std::uint64_t sequence = 0;  // above 0
-  bool deleted = false;        // it is no longer so
+  Instant learned;             // when the fact took this value
+  std::uint64_t sequence = 0;  // from 1
+  bool deleted = false;        // tombstone: the fact no longer holds
 };
 
 }  // namespace gorsemount::recovery
--- a/src/spillover/flow_solver.hpp
+++ b/src/spillover/flow_solver.hpp
@@ -1,7 +1,7 @@
-// Decides what should flow from the zones of proxies to the zones of backends: first as much billed value as
-// can be kept, then as few crossings, by tier, as that allows, then as little change from what flows now.
-// Three linear programs one after the other, each bound to the result of the one before, so that no weighing
-// of one aim against another is hidden in a number. Free of I/O and clocks.
+// Computes how much work flows from each proxy zone to each backend zone. Three linear programs run in order:
+// keep as much billed value as possible, then minimize cross-zone traffic weighted by tier, then minimize the
+// change from the current flow. Each is constrained to the optimum of the one before, so that no weighting
+// trades one objective against another. No I/O, no clock.
 #pragma once
 
 #include <cstddef>
@@ -10,35 +10,34 @@
 namespace gorsemount::spillover {
 
 struct FlowProblem {
-  struct OperationDemand {       // invocations of one operation
-    double value = 0;            // billed, each
-    double cost = 1;             // of capacity, each
-    std::vector<double> demand;  // a second, by proxy zone
+  struct OperationDemand {
+    double billed_value = 0;     // per invocation
+    double cost = 1;             // capacity used per invocation
+    std::vector<double> demand;  // invocations per second, by proxy zone
   };
   std::vector<OperationDemand> operations;
-  std::vector<double> capacity;  // cost a second, by backend zone
+  std::vector<double> capacity;  // cost per second, by backend zone
   std::vector<std::vector<int>>
-      tier;  // [proxy zone][backend zone]: 0 own, 1 near, 2 far; below 0: can't be reached
-  std::vector<std::vector<double>> now;  // cost a second that flows there now; empty: nothing is known
-  // In strain, by backend zone: all work is placed, whatever the capacities, so that the fullest zone is as
-  // little over its part of this as can be. Empty: work beyond capacity is lost.
-  std::vector<double> even;
+      tier;  // [proxy zone][backend zone]: 0 own, 1 near, 2 far; negative: unreachable
+  std::vector<std::vector<double>> current_flow;  // cost per second; empty: unknown
+  // Used under overload, by backend zone: all work is placed regardless of capacity, minimizing the largest
+  // ratio of a zone's load to its share here. Empty: work beyond capacity is lost.
+  std::vector<double> overload_shares;
 };
 
 struct FlowSolution {
-  std::vector<std::vector<double>> flow;      // cost a second, [proxy zone][backend zone]
-  std::vector<std::vector<double>> admitted;  // part of the demand, [class][proxy zone]
-  double fullest = 0;                         // in strain: cost a second, over `even`, of the fullest zone
-  double lost = 0;                            // billed value a second that nothing can take
-  double crossings = 0;                       // cost a second, times the tier
-  double change = 0;                          // cost a second that moves
+  std::vector<std::vector<double>> flow;      // cost per second, [proxy zone][backend zone]
+  std::vector<std::vector<double>> admitted;  // fraction of the demand, [operation][proxy zone]
+  double peak_load_ratio = 0;  // under overload: the largest ratio of load to `overload_shares`
+  double lost_value = 0;       // billed value per second beyond all capacity
+  double cross_zone_cost = 0;  // cost per second, weighted by tier
+  double moved_cost = 0;       // cost per second that changes zones
 };
 
-// Crossing one tier costs so many times a crossing of the one before: far is worse than near by more than the
-// trip.
-inline constexpr double kTierCost = 4;
+// Each tier costs this many times the one before, so that far traffic weighs more than its latency alone.
+inline constexpr double kTierCostFactor = 4;
 
-// Throws std::runtime_error if the solver fails, which a problem of this form can't make it do.
+// Throws std::runtime_error if the solver fails, which a problem of this form cannot cause.
 [[nodiscard]] FlowSolution solve(const FlowProblem& problem);
 
 }  // namespace gorsemount::spillover
--- a/src/spillover/spillover_planner.cpp
+++ b/src/spillover/spillover_planner.cpp
@@ -8,46 +8,48 @@
 
 namespace {
 
-constexpr std::size_t kRounds = 16;  // as the module keeps its samples: some seconds
-// Told only while between idle and jammed: below, throughput says nothing of capacity; above, a jam hides it.
-constexpr double kIdle = 0.3, kJammed = 0.9;
-// The lower quarter of what it has shown, and a twentieth less for the rounds in which reports are on their
-// way.
-constexpr double kQuantile = 0.25, kMargin = 0.95;
-// Guards against a zone whose reports make it look idler than it is: listed weights say what zones can do
-// beside each other, so no zone is believed to do much more with its weight than the middle one. Half of the
-// true use told by one zone cost 0.11 of a day's service without this.
-constexpr double kUnlike = 1.1;
-// Tiers fill a zone only to four fifths of that: above it a burst queues. Where that does not hold the work,
-// the fleet is in strain, and all of it is placed so that no zone is fuller than it need be, till that was
-// not so for two holds: a zone that is filled to the brim for the sake of a tier jams, its ladders take
-// weight away, and what it loses jams the next one (measured: docs/zones.md).
-constexpr double kComfort = 0.8;
-// Guards against a zone whose flapping takes the fleet from tiers to an even spread and back each time, which
-// moves more than the fault does: each strain lasts twice as long as the one before, and one is forgotten in
-// half an hour, which is as long as the longest of them.
-constexpr int kStrainsMost = 6;
-const Span kStrainForgotten = Span::seconds(1800);
-// A zone that has under a tenth of its listed weight is lost; one above two thirds is back, as far as weights
-// go.
-constexpr double kLost = 0.1, kBack = 0.66;
-// A trial of a hundredth, then a quarter of its capacity every second: the module's ramp and ladders pace
-// what stands in the zone besides. After a relapse a tenth of that pace, and a hold that doubles, three times
-// at most. Down at once.
-constexpr double kTrial = 0.01, kUp = 0.25, kSlower = 0.1;
-const Span kUpEvery = Span::seconds(1), kHold = Span::seconds(10);
-// A step moves at most a fifth of a proxy zone's work, but for what must leave a zone that is lost; and
-// nothing moves for less than a fiftieth, which is what two rounds of reports differ by.
-constexpr double kStep = 0.2, kNoise = 0.02;
-// Of a proxy zone's work in each zone that it can reach, whatever the tiers say.
-constexpr double kFloor = 0.02;
-// What a trip must be longer by before it contradicts a tier: a tenth of the quickest, which is what the
-// means of a few invocations differ by, and a millisecond.
-constexpr double kTripNoise = 0.1;
+constexpr std::size_t kSampleRounds = 16;  // some seconds of samples, as many as the policy module keeps
+// A sample counts only at an intermediate utilization: below it throughput says nothing about capacity, above
+// it saturation lowers throughput.
+constexpr double kMinUtilization = 0.3, kMaxUtilization = 0.9;
+// Capacity is the lower quartile of the samples, less 5% for the rounds until reports arrive.
+constexpr double kCapacityQuantile = 0.25, kCapacityMargin = 0.95;
+// Limits a zone's unit capacity to 1.1 times the median, because listed weights already express the zones'
+// relative capacity. Without it, one zone that reported half of its true utilization cost 0.11 of a day's
+// service.
+constexpr double kMaxOverMedian = 1.1;
+// Routing by tiers fills a zone only to this fraction of its capacity, because bursts queue above it. If the
+// work does not fit, the fleet is overloaded: all work is placed so that the peak load ratio is minimal,
+// until it has fitted for a hold time that doubles with each recent overload. Filling a zone completely for
+// the sake of a tier saturates it, the module then takes its weight away, and the work that it loses
+// saturates the next zone (measured: docs/zones.md).
+constexpr double kTargetUtilization = 0.8;
+// A flapping zone would otherwise switch the fleet between tiers and an even spread each time, which moves
+// more work than the failure itself. Each overload lasts twice as long as the one before; one is forgotten
+// per interval, which is about as long as the longest of them.
+constexpr int kMaxRecentOverloads = 6;
+const Span kOverloadForgetInterval = Span::seconds(1800);
+// Fractions of a zone's listed weight: below the first it has failed, above the second it counts as
+// recovered.
+constexpr double kFailedShare = 0.1, kRecoveredShare = 0.66;
+// A recovered zone starts at a hundredth of its capacity and gains a quarter per second; the module's slow
+// start and health weights pace it as well. After a relapse the ramp is ten times slower and the hold time
+// doubles, at most three times. A decrease takes effect at once.
+constexpr double kTrialLimit = 0.01, kRampStep = 0.25, kRelapseRampFactor = 0.1;
+const Span kRampInterval = Span::seconds(1), kHoldTime = Span::seconds(10);
+// A step moves at most a fifth of a proxy zone's work, except for work that must leave a failed zone. Changes
+// below a fiftieth are ignored: two rounds of reports differ by as much.
+constexpr double kMaxMovedShare = 0.2, kMinMovedShare = 0.02;
+// Every backend zone that a proxy zone can reach receives at least this fraction of its work, whatever its
+// tier.
+constexpr double kMinShare = 0.02;
+// Latencies contradict the tiers only if they differ by more than a tenth of the lower one, by which the
+// means of a few invocations vary, and by more than a millisecond.
+constexpr double kLatencyNoise = 0.1;
 
-double quantile(std::deque<double> values, double part) {
+double quantile(std::deque<double> values, double rank) {
   std::sort(values.begin(), values.end());
-  return values[static_cast<std::size_t>(part * static_cast<double>(values.size() - 1))];
+  return values[static_cast<std::size_t>(rank * static_cast<double>(values.size() - 1))];
 }
 
 }  // namespace
@@ -55,215 +57,228 @@
 SpilloverPlanner::SpilloverPlanner(std::vector<std::vector<int>> tier)
     : tier_{std::move(tier)}, zones_(tier_.empty() ? 0 : tier_[0].size()) {}
 
-std::optional<double> SpilloverPlanner::shown(const Zone& z) const {
-  if (z.able.size() < kRounds / 2) return {};  // the first rounds lag behind a load that has just begun
-  return quantile(z.able, kQuantile);
+std::optional<double> SpilloverPlanner::unit_capacity(const Zone& z) const {
+  // The first rounds lag behind a load that has just started.
+  if (z.unit_capacities.size() < kSampleRounds / 2) return {};
+  return quantile(z.unit_capacities, kCapacityQuantile);
 }
 
 std::optional<double> SpilloverPlanner::capacity(std::size_t zone) const {
   const Zone& z = zones_.at(zone);
-  const auto own = shown(z);
+  const auto own = unit_capacity(z);
   if (!own) return {};
   std::vector<double> all;
   for (const auto& other : zones_)
-    if (const auto able = shown(other)) all.push_back(*able);
+    if (const auto value = unit_capacity(other)) all.push_back(*value);
   std::sort(all.begin(), all.end());
-  return kMargin * std::min(*own, kUnlike * all[(all.size() - 1) / 2]) * z.weight * z.ceiling;
+  return kCapacityMargin * std::min(*own, kMaxOverMedian * all[(all.size() - 1) / 2]) * z.weight *
+         z.capacity_limit;
 }
 
 bool SpilloverPlanner::has_capacity_without(std::size_t zone) const {
-  double room = 0;
+  double total_capacity = 0;
   for (std::size_t z = 0; z < zones_.size(); ++z) {
-    const auto able = capacity(z);
-    if (!able && zones_[z].weight > 0) return true;
-    if (z != zone) room += able.value_or(0);
+    const auto available = capacity(z);
+    if (!available && zones_[z].weight > 0) return true;
+    if (z != zone) total_capacity += available.value_or(0);
   }
-  return demand_ <= room;
+  return demand_ <= total_capacity;
 }
 
-// A zone's loss and return. Guards against a zone that flaps: it falls at once, and each climb after a
-// relapse is slower.
-void SpilloverPlanner::follow(Instant now, Zone& z, const ZoneSample& seen) {
-  z.weight = seen.weight;
-  const double part = seen.listed_weight > 0 ? seen.weight / seen.listed_weight : 0;
-  const bool rises = part > std::exchange(z.part, part);
-  // While the rest is in strain a first return is paced by the module's ramp alone: each second of what is
-  // back is worth more than a gentler climb, and the ramp keeps cold backends far from what they fall over
-  // at.
-  const bool urged = now < strain_until_ && z.relapses == 0;
-  z.early = part < kLost && part >= kTrial && (z.early || (urged && z.lost && rises));
-  if (part < kLost && !z.early) {
-    // A list that wavers for a round while a zone goes is no return that failed.
-    if (!z.lost && (z.ceiling < 1 || now - z.back < kHold) && now - z.back >= kUpEvery) ++z.relapses;
-    z.lost = true, z.ceiling = 0, z.since = now;
-    z.held_until = now + kHold * (1 << std::min(z.relapses, 3));
+// Tracks a zone's failure and return. So that a flapping zone moves little work, its limit drops at once and
+// each ramp after a relapse is slower.
+void SpilloverPlanner::update_zone(Instant now, Zone& z, const ZoneSample& sample) {
+  z.weight = sample.weight;
+  const double listed_share = sample.listed_weight > 0 ? sample.weight / sample.listed_weight : 0;
+  const bool rising = listed_share > std::exchange(z.listed_share, listed_share);
+  // While the other zones are overloaded, a first return is paced by the module's slow start alone: recovered
+  // capacity is worth more than a gentler ramp, and slow start keeps cold backends well below the load at
+  // which they fail.
+  const bool fast_return = now < overload_until_ && z.relapses == 0;
+  z.early_return = listed_share < kFailedShare && listed_share >= kTrialLimit &&
+                   (z.early_return || (fast_return && z.failed && rising));
+  if (listed_share < kFailedShare && !z.early_return) {
+    // Listed weight that fluctuates for one round during a failure does not count as a relapse.
+    if (!z.failed && (z.capacity_limit < 1 || now - z.recovered_at < kHoldTime) &&
+        now - z.recovered_at >= kRampInterval)
+      ++z.relapses;
+    z.failed = true, z.capacity_limit = 0, z.last_step = now;
+    z.held_until = now + kHoldTime * (1 << std::min(z.relapses, 3));
     return;
   }
-  if (z.lost) {
+  if (z.failed) {
     if (now < z.held_until && z.relapses > 0) return;
-    z.lost = false, z.ceiling = urged ? 1 : kTrial, z.since = z.back = now;
+    z.failed = false, z.capacity_limit = fast_return ? 1 : kTrialLimit, z.last_step = z.recovered_at = now;
     return;
   }
-  if (z.ceiling >= 1) {
-    if (now - z.since > kHold * 4) z.relapses = 0;
+  if (z.capacity_limit >= 1) {
+    if (now - z.last_step > kHoldTime * 4) z.relapses = 0;
     return;
   }
-  if (now - z.since < kUpEvery) return;
-  z.ceiling = std::min(1.0, z.ceiling + kUp * (z.relapses > 0 ? kSlower : 1)), z.since = now;
+  if (now - z.last_step < kRampInterval) return;
+  z.capacity_limit = std::min(1.0, z.capacity_limit + kRampStep * (z.relapses > 0 ? kRelapseRampFactor : 1)),
+  z.last_step = now;
 }
 
-SpilloverPlanner::Decision SpilloverPlanner::decide(Instant now, const std::vector<ZoneSample>& seen,
-                                                    const std::vector<FlowProblem::OperationDemand>& classes,
-                                                    const ZoneLatencies& trips, const UnreachablePairs& cut) {
-  const std::size_t proxies = tier_.size(), backends = zones_.size();
+SpilloverPlanner::Decision SpilloverPlanner::decide(
+    Instant now, const std::vector<ZoneSample>& samples,
+    const std::vector<FlowProblem::OperationDemand>& operations, const ZoneLatencies& latencies,
+    const UnreachablePairs& unreachable) {
+  const std::size_t proxy_zones = tier_.size(), backend_zones = zones_.size();
   Decision d;
-  d.tier_mismatch.assign(proxies, false);
-  for (std::size_t b = 0; b < backends; ++b) {
+  d.tier_mismatch.assign(proxy_zones, false);
+  for (std::size_t b = 0; b < backend_zones; ++b) {
     Zone& z = zones_[b];
-    const ZoneSample& n = seen[b];
-    if (n.weight > 0 && n.cpu_utilization > kIdle && n.cpu_utilization < kJammed) {
-      z.able.push_back(n.goodput / n.cpu_utilization / n.weight);
-      if (z.able.size() > kRounds) z.able.pop_front();
+    const ZoneSample& n = samples[b];
+    if (n.weight > 0 && n.cpu_utilization > kMinUtilization && n.cpu_utilization < kMaxUtilization) {
+      z.unit_capacities.push_back(n.goodput / n.cpu_utilization / n.weight);
+      if (z.unit_capacities.size() > kSampleRounds) z.unit_capacities.pop_front();
     }
-    follow(now, z, n);
+    update_zone(now, z, n);
   }
   FlowProblem p;
-  p.operations = classes, p.tier = tier_;
-  for (const auto& [a, b] : cut)
-    if (a < proxies && b < backends) p.tier[a][b] = -1;
-  double demand = 0, usual = 0;
-  std::size_t told = 0;
-  for (const auto& c : classes)
+  p.operations = operations, p.tier = tier_;
+  for (const auto& [a, b] : unreachable)
+    if (a < proxy_zones && b < backend_zones) p.tier[a][b] = -1;
+  double demand = 0, unit_capacity_sum = 0;
+  std::size_t reporting = 0;
+  for (const auto& c : operations)
     for (const double n : c.demand) demand += n * c.cost;
-  for (std::size_t b = 0; b < backends; ++b)
-    if (const auto c = capacity(b); c && zones_[b].weight > 0 && zones_[b].ceiling > 0)
-      usual += *c / zones_[b].weight / zones_[b].ceiling, ++told;
+  for (std::size_t b = 0; b < backend_zones; ++b)
+    if (const auto c = capacity(b); c && zones_[b].weight > 0 && zones_[b].capacity_limit > 0)
+      unit_capacity_sum += *c / zones_[b].weight / zones_[b].capacity_limit, ++reporting;
   demand_ = demand;
   if (demand <= 0) return d;
-  for (std::size_t b = 0; b < backends; ++b) {
+  for (std::size_t b = 0; b < backend_zones; ++b) {
     const Zone& z = zones_[b];
-    // A zone that never was busy enough to tell is taken to be like those that were; if none was, the fleet
-    // is idle and any of it takes all.
-    const double per_weight =
-        told > 0 ? usual / static_cast<double>(told) : 2 * demand / std::max(1e-9, z.weight);
-    p.capacity.push_back(kComfort * capacity(b).value_or(kMargin * per_weight * z.weight * z.ceiling));
+    // A zone without samples is assumed to match the average of the others; if no zone has samples the fleet
+    // is idle and any zone can take all work.
+    const double per_unit = reporting > 0 ? unit_capacity_sum / static_cast<double>(reporting)
+                                          : 2 * demand / std::max(1e-9, z.weight);
+    p.capacity.push_back(kTargetUtilization *
+                         capacity(b).value_or(kCapacityMargin * per_unit * z.weight * z.capacity_limit));
   }
-  // A trip that takes longer than to a zone of a later tier contradicts the settings; the settings stand, and
-  // a person is told.
-  for (std::size_t a = 0; a < proxies; ++a)
-    for (std::size_t b = 0; b < backends; ++b)
-      for (std::size_t c = 0; c < backends; ++c) {
-        const auto to_b = trips.find({a, b}), to_c = trips.find({a, c});
-        if (to_b == trips.end() || to_c == trips.end() || tier_[a][b] < 0 || tier_[a][c] <= tier_[a][b])
+  // A measured latency above that of a zone in a later tier contradicts the settings. The settings still
+  // apply; the mismatch is reported to the operator.
+  for (std::size_t a = 0; a < proxy_zones; ++a)
+    for (std::size_t b = 0; b < backend_zones; ++b)
+      for (std::size_t c = 0; c < backend_zones; ++c) {
+        const auto to_b = latencies.find({a, b}), to_c = latencies.find({a, c});
+        if (to_b == latencies.end() || to_c == latencies.end() || tier_[a][b] < 0 ||
+            tier_[a][c] <= tier_[a][b])
           continue;
-        const Span least = std::min(to_b->second, to_c->second);
-        if (to_b->second - to_c->second > std::max(Span::seconds(0.001), least * kTripNoise))
+        const Span lower = std::min(to_b->second, to_c->second);
+        if (to_b->second - to_c->second > std::max(Span::seconds(0.001), lower * kLatencyNoise))
           d.tier_mismatch[a] = true;
       }
-  std::vector<double> of_zone(proxies, 0);
-  for (const auto& c : classes)
-    for (std::size_t a = 0; a < proxies; ++a) of_zone[a] += c.demand[a] * c.cost;
-  if (!parts_.empty()) {
-    p.now.assign(proxies, std::vector<double>(backends, 0));
-    for (std::size_t a = 0; a < proxies; ++a)
-      for (std::size_t b = 0; b < backends; ++b) p.now[a][b] = parts_[a][b] * of_zone[a];
+  std::vector<double> zone_demand(proxy_zones, 0);
+  for (const auto& c : operations)
+    for (std::size_t a = 0; a < proxy_zones; ++a) zone_demand[a] += c.demand[a] * c.cost;
+  if (!shares_.empty()) {
+    p.current_flow.assign(proxy_zones, std::vector<double>(backend_zones, 0));
+    for (std::size_t a = 0; a < proxy_zones; ++a)
+      for (std::size_t b = 0; b < backend_zones; ++b) p.current_flow[a][b] = shares_[a][b] * zone_demand[a];
   }
   FlowSolution s = solve(p);
   d.admitted = s.admitted;
-  std::vector<std::vector<double>> wanted(proxies, std::vector<double>(backends, 0));
-  double room = 0;
-  for (const auto& z : zones_) room += z.weight * z.ceiling;
+  std::vector<std::vector<double>> target(proxy_zones, std::vector<double>(backend_zones, 0));
+  double total_capacity = 0;
+  for (const auto& z : zones_) total_capacity += z.weight * z.capacity_limit;
   double value = 0;
-  for (const auto& c : classes)
-    for (const double n : c.demand) value += n * c.value;
-  if (s.lost > 1e-3 * value) {
-    if (now >= strain_until_) {
-      const auto forgotten = (now - strain_began_).micros() / kStrainForgotten.micros();
-      strains_ = static_cast<int>(
-          std::max<std::int64_t>(0, strains_ - std::min<std::int64_t>(forgotten, kStrainsMost)));
-      strain_began_ = now, strains_ = std::min(strains_ + 1, kStrainsMost);
+  for (const auto& c : operations)
+    for (const double n : c.demand) value += n * c.billed_value;
+  if (s.lost_value > 1e-3 * value) {
+    if (now >= overload_until_) {
+      const auto forgotten = (now - overload_began_).micros() / kOverloadForgetInterval.micros();
+      recent_overloads_ = static_cast<int>(std::max<std::int64_t>(
+          0, recent_overloads_ - std::min<std::int64_t>(forgotten, kMaxRecentOverloads)));
+      overload_began_ = now, recent_overloads_ = std::min(recent_overloads_ + 1, kMaxRecentOverloads);
     }
-    strain_until_ = std::max(strain_until_, now + kHold * (1 << strains_));
+    overload_until_ = std::max(overload_until_, now + kHoldTime * (1 << recent_overloads_));
   }
-  d.overloaded = now < strain_until_;
-  // A cold backend gets no more than the module's ramp gave it in any table, so a zone on its way back fills
-  // only if all proxies feed it: each gives it the same part, and the rest goes as it went.
-  std::vector<double> fed(backends, 0);
+  d.overloaded = now < overload_until_;
+  // Each table limits a cold backend to the module's slow-start weight, so a returning zone fills only if all
+  // proxy zones route to it: each gives it the same share and splits the rest as before.
+  std::vector<double> ramped(backend_zones, 0);
   double rest = 1;
-  if (d.overloaded && room > 0) {
-    std::size_t whole = 0;
-    for (std::size_t b = 0; b < backends; ++b) {
+  if (d.overloaded && total_capacity > 0) {
+    std::size_t recovered = 0;
+    for (std::size_t b = 0; b < backend_zones; ++b) {
       const Zone& z = zones_[b];
-      if (z.weight * z.ceiling > 0 && z.part < kBack) fed[b] = z.weight * z.ceiling / room, rest -= fed[b];
-      whole += z.weight * z.ceiling > 0 && z.part >= kBack ? 1 : 0;
+      if (z.weight * z.capacity_limit > 0 && z.listed_share < kRecoveredShare)
+        ramped[b] = z.weight * z.capacity_limit / total_capacity, rest -= ramped[b];
+      recovered += z.weight * z.capacity_limit > 0 && z.listed_share >= kRecoveredShare ? 1 : 0;
     }
-    if (whole == 0) fed.assign(backends, 0), rest = 1;  // all of them are on their way
-    for (std::size_t b = 0; b < backends; ++b) {
-      p.even.push_back(fed[b] > 0 ? 0 : zones_[b].weight * zones_[b].ceiling / room);
-      for (std::size_t a = 0; a < proxies && p.even[b] <= 0; ++a) p.tier[a][b] = -1;
+    if (recovered == 0) ramped.assign(backend_zones, 0), rest = 1;  // every zone is still returning
+    for (std::size_t b = 0; b < backend_zones; ++b) {
+      p.overload_shares.push_back(
+          ramped[b] > 0 ? 0 : zones_[b].weight * zones_[b].capacity_limit / total_capacity);
+      for (std::size_t a = 0; a < proxy_zones && p.overload_shares[b] <= 0; ++a) p.tier[a][b] = -1;
     }
     s = solve(p);
   }
-  for (std::size_t a = 0; a < proxies; ++a) {
+  for (std::size_t a = 0; a < proxy_zones; ++a) {
     double sum = 0;
     for (const double f : s.flow[a]) sum += f;
-    for (std::size_t b = 0; b < backends; ++b) {
+    for (std::size_t b = 0; b < backend_zones; ++b) {
       const Zone& z = zones_[b];
-      const double even = room > 0 ? z.weight * z.ceiling / room : 1.0 / static_cast<double>(backends);
-      wanted[a][b] = fed[b] > 0         ? fed[b]
+      const double proportional = total_capacity > 0 ? z.weight * z.capacity_limit / total_capacity
+                                                     : 1.0 / static_cast<double>(backend_zones);
+      target[a][b] = ramped[b] > 0      ? ramped[b]
                      : p.tier[a][b] < 0 ? 0
-                                        : rest * (sum <= 1e-9 ? even : s.flow[a][b] / sum);
+                                        : rest * (sum <= 1e-9 ? proportional : s.flow[a][b] / sum);
     }
-    // UnreachablePairs off from all of them: the module's table stands, whatever it is worth.
-    if (std::all_of(wanted[a].begin(), wanted[a].end(), [](double w) { return w <= 0; }))
-      wanted[a].assign(backends, 1.0 / static_cast<double>(backends));
+    // No backend zone is reachable: the module's table applies unchanged.
+    if (std::all_of(target[a].begin(), target[a].end(), [](double w) { return w <= 0; }))
+      target[a].assign(backend_zones, 1.0 / static_cast<double>(backend_zones));
   }
-  // Nobody holds lines of one zone only: were that lost, it would have none to turn to till a table comes.
-  for (std::size_t a = 0; a < proxies; ++a) {
+  // No proxy zone depends on one backend zone: if that failed, it would have no fallback until the next table
+  // arrives.
+  for (std::size_t a = 0; a < proxy_zones; ++a) {
     double sum = 0;
-    for (std::size_t b = 0; b < backends; ++b) {
-      if (p.tier[a][b] >= 0 && zones_[b].weight * zones_[b].ceiling > 0)
-        wanted[a][b] = std::max(wanted[a][b], kFloor);
-      sum += wanted[a][b];
+    for (std::size_t b = 0; b < backend_zones; ++b) {
+      if (p.tier[a][b] >= 0 && zones_[b].weight * zones_[b].capacity_limit > 0)
+        target[a][b] = std::max(target[a][b], kMinShare);
+      sum += target[a][b];
     }
-    for (double& part : wanted[a]) part /= std::max(1e-9, sum);
+    for (double& part : target[a]) part /= std::max(1e-9, sum);
   }
-  const auto turn_to = [&] {
-    d.failover_tier.assign(proxies, std::vector<int>(backends, 0));
-    for (std::size_t a = 0; a < proxies; ++a)
-      for (std::size_t b = 0; b < backends; ++b)
-        if (parts_[a][b] <= kFloor * 2) d.failover_tier[a][b] = std::max(0, tier_[a][b]);
+  const auto set_failover_tiers = [&] {
+    d.failover_tier.assign(proxy_zones, std::vector<int>(backend_zones, 0));
+    for (std::size_t a = 0; a < proxy_zones; ++a)
+      for (std::size_t b = 0; b < backend_zones; ++b)
+        if (shares_[a][b] <= kMinShare * 2) d.failover_tier[a][b] = std::max(0, tier_[a][b]);
   };
-  if (parts_.empty()) {
-    d.shares = parts_ = wanted;
+  if (shares_.empty()) {
+    d.shares = shares_ = target;
     d.moved = 1;
-    turn_to();
+    set_failover_tiers();
     return d;
   }
-  for (std::size_t a = 0; a < proxies; ++a) {
-    double moves = 0, forced = 0;
-    for (std::size_t b = 0; b < backends; ++b) {
-      const double less = parts_[a][b] - wanted[a][b];
-      if (less <= 0) continue;
-      moves += less;
-      // What stands in a lost zone, or behind a cut link, leaves now.
-      if (zones_[b].lost || p.tier[a][b] < 0) forced += less;
+  for (std::size_t a = 0; a < proxy_zones; ++a) {
+    double moved = 0, forced = 0;
+    for (std::size_t b = 0; b < backend_zones; ++b) {
+      const double decrease = shares_[a][b] - target[a][b];
+      if (decrease <= 0) continue;
+      moved += decrease;
+      // Work in a failed or unreachable zone moves at once.
+      if (zones_[b].failed || p.tier[a][b] < 0) forced += decrease;
     }
-    if (moves < kNoise && forced <= 0) continue;
-    const double bound = std::min(moves, forced + kStep);
-    const double part = bound / moves;
-    for (std::size_t b = 0; b < backends; ++b) {
-      double to = parts_[a][b] + (wanted[a][b] - parts_[a][b]) * part;
-      if (zones_[b].lost || p.tier[a][b] < 0) to = wanted[a][b];
-      parts_[a][b] = std::max(0.0, to);
+    if (moved < kMinMovedShare && forced <= 0) continue;
+    const double limit = std::min(moved, forced + kMaxMovedShare);
+    const double step = limit / moved;
+    for (std::size_t b = 0; b < backend_zones; ++b) {
+      double to = shares_[a][b] + (target[a][b] - shares_[a][b]) * step;
+      if (zones_[b].failed || p.tier[a][b] < 0) to = target[a][b];
+      shares_[a][b] = std::max(0.0, to);
     }
     double sum = 0;
-    for (const double v : parts_[a]) sum += v;
-    for (double& v : parts_[a]) v /= sum;
-    d.moved += bound * of_zone[a] / demand;
+    for (const double v : shares_[a]) sum += v;
+    for (double& v : shares_[a]) v /= sum;
+    d.moved += limit * zone_demand[a] / demand;
   }
-  d.shares = parts_;
-  turn_to();
+  d.shares = shares_;
+  set_failover_tiers();
   return d;
 }
 
--- a/src/spillover/spillover_planner.hpp
+++ b/src/spillover/spillover_planner.hpp
@@ -1,7 +1,7 @@
-// Decides how work leaves a zone that is lost and how it comes back: by tiers of preference, within what the
-// others have shown that they can take, in steps. It sits on the module's zone weights and never contradicts
-// them: what a ladder took from a zone is no capacity here, and nothing is given to a backend that the module
-// gives nothing. Free of I/O and clocks.
+// Decides how work leaves a failed zone and how it returns: by tiers of preference, within the capacity that
+// the other zones have demonstrated, in bounded steps. It builds on the policy module's zone weights and
+// never contradicts them: weight that the module has removed from a zone is not counted as capacity, and a
+// backend with no weight from the module receives nothing. No I/O, no clock.
 #pragma once
 
 #include <deque>
@@ -16,17 +16,17 @@
 
 namespace gorsemount::spillover {
 
-// Of a backend zone, as it stands now.
+// The state of a backend zone in one report round.
 struct ZoneSample {
-  double weight = 0;           // what the module has in its tables, of warm and cold ones together
-  double listed_weight = 0;    // of all that the list calls ready
-  double goodput = 0;          // cost a second that came back in time, since the last look
-  double cpu_utilization = 0;  // use of processors; 0: they do not tell
+  double weight = 0;           // in the module's tables, warm and cold backends together
+  double listed_weight = 0;    // of all backends that discovery lists as ready
+  double goodput = 0;          // cost per second that completed in time since the last round
+  double cpu_utilization = 0;  // 0: not reported
 };
-// How long work takes from a proxy zone to a backend zone, at the quickest backends there: the trip, and work
-// that is the same everywhere. Absent: nothing was measured.
+// Latency from a proxy zone to a backend zone, measured at the fastest backends there: the network round trip
+// plus service time, which is the same everywhere. Absent: not measured.
 using ZoneLatencies = std::map<std::pair<std::size_t, std::size_t>, Span>;
-// Pairs that can't reach each other, by the module's ladders of links.
+// Pairs of zones that cannot reach each other, according to the module's link health.
 using UnreachablePairs = std::set<std::pair<std::size_t, std::size_t>>;
 
 class SpilloverPlanner {
@@ -34,50 +34,50 @@
   // `tier`: [proxy zone][backend zone], from the settings.
   explicit SpilloverPlanner(std::vector<std::vector<int>> tier);
 
-  // After each round of reports. The parts of each proxy zone's work that are to go to each backend zone,
-  // each row adding up to 1, or empty rows where nothing is known yet: the module's weights stand alone then.
   struct Decision {
+    // Fraction of each proxy zone's work that each backend zone is to receive; each row adds up to 1. Empty
+    // while nothing is known: the module's weights then apply unchanged.
     std::vector<std::vector<double>> shares;
-    std::vector<std::vector<double>> admitted;  // [class][proxy zone]
-    bool overloaded = false;                    // tiers are off: see spill.cpp
-    double moved = 0;                           // part of all work that this step moves
-    std::vector<bool> tier_mismatch;            // by proxy zone: measured trips say otherwise
-    // Of each backend zone, by proxy zone: 0, work is meant to go there; else its tier, to turn to where the
-    // first fail.
+    std::vector<std::vector<double>> admitted;  // [operation][proxy zone]
+    bool overloaded = false;                    // tiers are suspended: see kTargetUtilization
+    double moved = 0;                           // fraction of all work that this step moves
+    std::vector<bool> tier_mismatch;            // by proxy zone: measured latencies contradict the tiers
+    // [proxy zone][backend zone]: 0 if work is routed there; otherwise the tier to fail over to.
     std::vector<std::vector<int>> failover_tier;
   };
-  [[nodiscard]] Decision decide(Instant now, const std::vector<ZoneSample>& zones,
-                                const std::vector<FlowProblem::OperationDemand>& classes,
-                                const ZoneLatencies& trips, const UnreachablePairs& cut = {});
+  // Called after each round of reports.
+  [[nodiscard]] Decision decide(Instant now, const std::vector<ZoneSample>& samples,
+                                const std::vector<FlowProblem::OperationDemand>& operations,
+                                const ZoneLatencies& latencies, const UnreachablePairs& unreachable = {});
 
-  // What a zone may be asked to take: what its full weight has carried for its use, with a margin, times the
-  // weight that stands. Empty: it has not shown enough.
+  // The load that a zone may be given: its goodput per unit of weight at full utilization, less a margin,
+  // times its current weight. Empty: too few samples.
   [[nodiscard]] std::optional<double> capacity(std::size_t zone) const;
-  // Whether what came at the last look would find room without a zone, by all that is known; true if too
-  // little is.
+  // Whether the other zones can take the demand of the last round; true if too little is known to tell.
   [[nodiscard]] bool has_capacity_without(std::size_t zone) const;
-  [[nodiscard]] double ceiling(std::size_t zone) const { return zones_.at(zone).ceiling; }
+  [[nodiscard]] double capacity_limit(std::size_t zone) const { return zones_.at(zone).capacity_limit; }
 
  private:
   struct Zone {
-    std::deque<double> able;  // cost a second for a unit of weight at full use; the last rounds that told
+    std::deque<double>
+        unit_capacities;  // cost per second per unit of weight at full utilization, latest rounds
     double weight = 0;
-    double ceiling = 1;  // of its capacity, on its way back from a loss
-    bool lost = false;
-    Instant since, back, held_until;  // since: of the last step; back: when it was lost no more
+    double capacity_limit = 1;  // fraction of its capacity, while it returns from a failure
+    bool failed = false;
+    Instant last_step, recovered_at, held_until;
     int relapses = 0;
-    double part = 1;     // of its listed weight, at the last look
-    bool early = false;  // back, in strain, before its weight says so
+    double listed_share = 1;    // weight over listed weight, in the last round
+    bool early_return = false;  // counted as recovered during overload, before its weight says so
   };
-  void follow(Instant now, Zone& zone, const ZoneSample& seen);
-  [[nodiscard]] std::optional<double> shown(const Zone& zone) const;
+  void update_zone(Instant now, Zone& zone, const ZoneSample& sample);
+  [[nodiscard]] std::optional<double> unit_capacity(const Zone& zone) const;
 
   std::vector<std::vector<int>> tier_;
   std::vector<Zone> zones_;
-  std::vector<std::vector<double>> parts_;
-  double demand_ = 0;  // cost a second, at the last look
-  Instant strain_until_, strain_began_;
-  int strains_ = 0;  // of late
+  std::vector<std::vector<double>> shares_;
+  double demand_ = 0;  // cost per second, in the last round
+  Instant overload_until_, overload_began_;
+  int recent_overloads_ = 0;
 };
 
 }  // namespace gorsemount::spillover
--- a/src/store/disk.hpp
+++ b/src/store/disk.hpp
@@ -1,5 +1,5 @@
-// What a store needs of a disk, so that tests can put one in its place that loses, tears and bends. Every
-// call may throw DiskError.
+// The file operations that a store needs, as an interface, so that tests can inject lost, torn and corrupted
+// writes. Every call may throw DiskError.
 #pragma once
 
 #include <cstdint>
@@ -19,22 +19,23 @@
 class Disk {
  public:
   virtual ~Disk() = default;
-  virtual void create(const std::string& name) = 0;  // empty, in place of any of that name
+  virtual void create(const std::string& name) = 0;  // empty, replacing any file of that name
   virtual void append(const std::string& name, std::string_view bytes) = 0;
-  virtual void sync(const std::string& name) = 0;  // its bytes outlast a loss of power
+  virtual void sync(const std::string& name) = 0;  // afterwards its content survives a power failure
   virtual void rename(const std::string& from, const std::string& to) = 0;
-  virtual void sync_directory() = 0;                 // names outlast it too
-  virtual void remove(const std::string& name) = 0;  // of one that is not there: nothing
+  virtual void sync_directory() = 0;                 // afterwards renames survive a power failure
+  virtual void remove(const std::string& name) = 0;  // no error if it does not exist
   [[nodiscard]] virtual std::vector<std::string> list() = 0;
   [[nodiscard]] virtual std::string read(const std::string& name) = 0;
-  // At most `most` bytes from a place on; empty at the end. From any thread, beside all else.
-  [[nodiscard]] virtual std::string read_range(const std::string& name, std::size_t from, std::size_t most) {
-    return read(name).substr(from, most);
+  // At most `max_bytes` from `offset`; empty at the end. Safe from any thread, concurrently with other calls.
+  [[nodiscard]] virtual std::string read_range(const std::string& name, std::size_t offset,
+                                               std::size_t max_bytes) {
+    return read(name).substr(offset, max_bytes);
   }
 };
 
-// A folder of a real disk, made if it is not there. Locked against a second process; throws DiskError if it
-// is.
-[[nodiscard]] std::unique_ptr<Disk> open_directory(const std::string& folder, bool only_read = false);
+// A directory of the file system, created if missing. Locked against other processes unless it is read-only;
+// throws DiskError if another process holds the lock.
+[[nodiscard]] std::unique_ptr<Disk> open_directory(const std::string& path, bool read_only = false);
 
 }  // namespace gorsemount::store
--- a/src/store/store_writer.cpp
+++ b/src/store/store_writer.cpp
@@ -9,84 +9,87 @@
 
 namespace {
 
-// What a loss of power may cost: a second. Written and synced twice as often.
-const Span kWrite = Span::seconds(0.5);
-const Span kCheck = Span::seconds(60);            // between looks at the older generation
-constexpr std::uint64_t kCheckBytes = 4U << 20U;  // a second, of those looks
-constexpr std::size_t kSlice =
-    256U << 10U;  // at a time: a few milliseconds of a usual disk, a sixteenth of the budget
-// Of a core for all that is not a promise: what answers shares the machine.
-constexpr double kShare = 0.2;
-
-Instant at(const ClockReading& c) { return Instant{} + Span::micros(c.monotonic_us); }
+// A power failure may lose one second of changes; writing and syncing run twice as often.
+const Span kWriteInterval = Span::seconds(0.5);
+const Span kVerifyInterval = Span::seconds(60);  // between verifications of the older generation
+constexpr std::uint64_t kVerifyBytesPerSecond = 4U << 20U;
+// A few milliseconds of a typical disk, a sixteenth of a second's byte budget.
+constexpr std::size_t kSliceBytes = 256U << 10U;
+// Fraction of a core for work without a deadline; request handling shares the machine.
+constexpr double kVerifyTimeShare = 0.2;
+
+Instant monotonic_instant(const ClockReading& reading) {
+  return Instant{} + Span::micros(reading.monotonic_us);
+}
 
 }  // namespace
 
-StoreWriter::StoreWriter(background::Executor& background, std::unique_ptr<Disk> disk, StoreSettings settings,
-                         std::vector<recovery::Entry> first, Read clocks, Say say)
-    : background_{background},
+StoreWriter::StoreWriter(background::Executor& executor, std::unique_ptr<Disk> disk, StoreSettings settings,
+                         std::vector<recovery::Entry> initial, ReadClocks read_clocks, Report report)
+    : executor_{executor},
       disk_{std::move(disk)},
       s_{std::move(settings)},
-      clocks_{std::move(clocks)},
-      say_{std::move(say)} {
+      read_clocks_{std::move(read_clocks)},
+      report_{std::move(report)} {
   try {
-    store_.emplace(*disk_, s_, clocks_(), first);
+    store_.emplace(*disk_, s_, read_clocks_(), initial);
     ++counters_.snapshots, counters_.bytes = store_->bytes(), counters_.syncs = store_->syncs();
   } catch (const DiskError& fault) {
     stop(fault.what());
   }
-  for (auto& e : first) known_.put(std::move(e));
-  written_ = known_.last_sequence();
-  write_ = background_.add({"store write", 0, kWrite, 0, 1}, [this] { return write(); });
-  snapshot_ = background_.add({"store snapshot", 1, {}, 0, 1}, [this] { return snapshot(); });
-  check_ = background_.add({"store check", 3, kCheck, kCheckBytes, kShare}, [this] { return check(); });
+  for (auto& e : initial) log_.put(std::move(e));
+  written_ = log_.last_sequence();
+  write_task_ = executor_.add({"store write", 0, kWriteInterval, 0, 1}, [this] { return write(); });
+  snapshot_task_ = executor_.add({"store snapshot", 1, {}, 0, 1}, [this] { return snapshot(); });
+  verify_task_ = executor_.add({"store check", 3, kVerifyInterval, kVerifyBytesPerSecond, kVerifyTimeShare},
+                               [this] { return verify(); });
 }
 
 StoreWriter::~StoreWriter() {
-  for (const auto task : {check_, snapshot_, write_}) background_.remove(task);
+  for (const auto task : {verify_task_, snapshot_task_, write_task_}) executor_.remove(task);
   static_cast<void>(write());
 }
 
 void StoreWriter::submit(recovery::Facts facts) {
-  const std::lock_guard lock{lock_};
-  if (!counters_.stopped) waiting_ = std::move(facts);  // the latest is all that counts
+  const std::lock_guard lock{mutex_};
+  if (!counters_.stopped) submitted_ = std::move(facts);  // only the latest facts matter
 }
 
 StoreWriter::Counters StoreWriter::counters() const {
-  const std::lock_guard lock{lock_};
+  const std::lock_guard lock{mutex_};
   return counters_;
 }
 
-void StoreWriter::stop(const std::string& why) {
-  say_("store_stopped", why);
-  const std::lock_guard lock{lock_};
-  counters_.stopped = true, waiting_.reset();
+void StoreWriter::stop(const std::string& reason) {
+  report_("store_stopped", reason);
+  const std::lock_guard lock{mutex_};
+  counters_.stopped = true, submitted_.reset();
 }
 
 StepResult StoreWriter::write() {
   std::optional<recovery::Facts> facts;
   {
-    const std::lock_guard lock{lock_};
+    const std::lock_guard lock{mutex_};
     if (counters_.stopped) return {};
-    facts = std::exchange(waiting_, {});
+    facts = std::exchange(submitted_, {});
   }
   try {
-    const std::lock_guard hold{store_lock_};
-    const ClockReading now = clocks_();
-    if (facts) known_.observe(at(now), *facts);
-    const auto before = store_->bytes();
-    // With nothing new too: that it still holds is news.
-    store_->write(now, known_.after(written_));
+    const std::lock_guard store_lock{store_mutex_};
+    const ClockReading now = read_clocks_();
+    if (facts) log_.observe(monotonic_instant(now), *facts);
+    const auto bytes_before = store_->bytes();
+    // Also written without changes: the record confirms that the facts still hold.
+    store_->write(now, log_.after(written_));
     store_->sync();
-    written_ = known_.last_sequence();
-    known_.purge_deleted(at(now), written_);
-    const bool due = store_->snapshot_due();
+    written_ = log_.last_sequence();
+    log_.purge_deleted(monotonic_instant(now), written_);
+    const bool snapshot_due = store_->snapshot_due();
     {
-      const std::lock_guard lock{lock_};
+      const std::lock_guard lock{mutex_};
       counters_.bytes = store_->bytes(), counters_.syncs = store_->syncs();
     }
-    if (due) background_.request_run(snapshot_);
-    return {store_->bytes() - before, true};
+    if (snapshot_due) executor_.request_run(snapshot_task_);
+    return {store_->bytes() - bytes_before, true};
   } catch (const DiskError& fault) {
     stop(fault.what());
     return {};
@@ -96,38 +99,40 @@
 StepResult StoreWriter::snapshot() {
   if (counters().stopped) return {};
   try {
-    const std::lock_guard hold{store_lock_};
+    const std::lock_guard store_lock{store_mutex_};
     std::vector<recovery::Entry> live;
-    for (auto& e : known_.after(0))
+    for (auto& e : log_.after(0))
       if (!e.deleted) live.push_back(std::move(e));
-    const auto before = store_->bytes();
-    store_->snapshot(clocks_(), live);
-    const std::lock_guard lock{lock_};
+    const auto bytes_before = store_->bytes();
+    store_->snapshot(read_clocks_(), live);
+    const std::lock_guard lock{mutex_};
     ++counters_.snapshots, counters_.bytes = store_->bytes(), counters_.syncs = store_->syncs();
-    return {store_->bytes() - before, true};
+    return {store_->bytes() - bytes_before, true};
   } catch (const DiskError& fault) {
     stop(fault.what());
     return {};
   }
 }
 
-// In slices, of the older generation: the newer one is still being written, and is read at the next start.
-StepResult StoreWriter::check() {
+// Verifies the older generation in slices; the newer one is still being written and is read at the next
+// start.
+StepResult StoreWriter::verify() {
   if (counters().stopped) return {};
-  std::size_t n = 0;
+  std::size_t bytes_read = 0;
   try {
-    if (!verification_) verification_ = std::make_unique<Verification>(*disk_, s_, older_generation(*disk_));
-    n = verification_->slice(kSlice);
-    if (!verification_->done()) return {n, false};
-    const Checked found = verification_->result();
-    if (!found.fault.empty()) say_("store_damaged", found.file + ": " + found.fault);
+    if (!verifier_) verifier_ = std::make_unique<FileVerifier>(*disk_, s_, older_generation(*disk_));
+    bytes_read = verifier_->read_slice(kSliceBytes);
+    if (!verifier_->done()) return {bytes_read, false};
+    const FileCheck result = verifier_->result();
+    if (!result.fault.empty()) report_("store_damaged", result.file + ": " + result.fault);
   } catch (const DiskError& fault) {
-    say_("store_damaged", fault.what());  // the folder can't be listed: the next write says if it matters
+    // The directory cannot be listed; the next write fails if it matters.
+    report_("store_damaged", fault.what());
   }
-  verification_.reset();
-  const std::lock_guard lock{lock_};
-  ++counters_.checked;
-  return {n, true};
+  verifier_.reset();
+  const std::lock_guard lock{mutex_};
+  ++counters_.verifications;
+  return {bytes_read, true};
 }
 
 }  // namespace gorsemount::store
--- a/src/store/store_writer.hpp
+++ b/src/store/store_writer.hpp
@@ -1,6 +1,6 @@
-// Keeps a coordinator's facts on disk while it runs: the one who steps hands over facts and goes on;
-// differences, encoding, writing, syncing, snapshots and the checking of the older generation are background
-// work, each a task of its own. A disk that fails stops it: that is said once, and serving goes on.
+// Persists a coordinator's facts in the background. The caller submits facts and continues; diffing,
+// encoding, writing, syncing, snapshots and verification of the older generation run as background tasks. A
+// disk error stops the writer and is reported once; the coordinator keeps serving.
 #pragma once
 
 #include <functional>
@@ -16,19 +16,19 @@
 
 class StoreWriter {
  public:
-  using Read = std::function<recovery::ClockReading()>;  // the clocks; called from background threads
-  using Say = std::function<void(const std::string& event, const std::string& what)>;
-  // `background` outlives it.
-  StoreWriter(background::Executor& background, std::unique_ptr<Disk> disk, StoreSettings settings,
-              std::vector<recovery::Entry> first, Read clocks, Say say);
-  ~StoreWriter();  // what was handed over is written
+  using ReadClocks = std::function<recovery::ClockReading()>;  // called from background threads
+  using Report = std::function<void(const std::string& event, const std::string& detail)>;
+  // `executor` must outlive the writer.
+  StoreWriter(background::Executor& executor, std::unique_ptr<Disk> disk, StoreSettings settings,
+              std::vector<recovery::Entry> initial, ReadClocks read_clocks, Report report);
+  ~StoreWriter();  // writes the facts that were submitted last
   StoreWriter(const StoreWriter&) = delete;
   StoreWriter& operator=(const StoreWriter&) = delete;
 
   void submit(recovery::Facts facts);
   struct Counters {
     std::uint64_t bytes = 0, syncs = 0, snapshots = 0,
-                  checked = 0;  // checked: whole looks at the older generation
+                  verifications = 0;  // completed, of the older generation
     bool stopped = false;
   };
   [[nodiscard]] Counters counters() const;
@@ -36,23 +36,23 @@
  private:
   background::StepResult write();
   background::StepResult snapshot();
-  background::StepResult check();
-  void stop(const std::string& why);
+  background::StepResult verify();
+  void stop(const std::string& reason);
 
-  background::Executor& background_;
+  background::Executor& executor_;
   std::unique_ptr<Disk> disk_;
   StoreSettings s_;
-  Read clocks_;
-  Say say_;
-  mutable std::mutex lock_;  // of waiting_ and counters_: never held while the disk works
-  std::optional<recovery::Facts> waiting_;
+  ReadClocks read_clocks_;
+  Report report_;
+  mutable std::mutex mutex_;  // guards submitted_ and counters_; never held during disk I/O
+  std::optional<recovery::Facts> submitted_;
   Counters counters_;
-  std::mutex store_lock_;  // of what follows: a write and a snapshot are never under way together
+  std::mutex store_mutex_;  // guards the three members below: a write and a snapshot never overlap
   std::optional<Store> store_;
-  recovery::FactLog known_;
+  recovery::FactLog log_;
   std::uint64_t written_ = 0;
-  std::unique_ptr<Verification> verification_;  // the check's alone
-  background::TaskId write_, snapshot_, check_;
+  std::unique_ptr<FileVerifier> verifier_;  // used only by verify()
+  background::TaskId write_task_, snapshot_task_, verify_task_;
 };
 
 }  // namespace gorsemount::store
--- a/tests/recovery/recovery_test.cpp
+++ b/tests/recovery/recovery_test.cpp
@@ -1,4 +1,4 @@
-// What is remembered: the log's difference, its bounds, its bytes, and what age makes of it.
+// Stored facts: differences and bounds of the log, the codec, and how confidence decays with age.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,19 +12,19 @@
 namespace {
 
 Instant at(double s) { return Instant::at_seconds(s); }
-Facts some(double share) {
+Facts test_facts(double share) {
   Facts f;
   f[{FactKind::zone_ladder, "a"}] = {"", {{"share", share}}, {{"next", at(50)}}};
   f[{FactKind::usual_rate, "g"}] = {"", {{"rate", 100}}, {}};
   return f;
 }
 
-TEST(FactLog, WritesOnlyWhatDiffersAndSaysWhatIsGone) {
+TEST(FactLog, AppendsOnlyDifferencesAndTombstones) {
   FactLog k;
-  EXPECT_EQ(k.observe(at(1), some(0.5)), 2U);
-  EXPECT_EQ(k.observe(at(2), some(0.5)), 0U);
-  auto facts = some(0.5);
-  facts[{FactKind::usual_rate, "g"}].figures["rate"] = 104;  // measured again, not moved
+  EXPECT_EQ(k.observe(at(1), test_facts(0.5)), 2U);
+  EXPECT_EQ(k.observe(at(2), test_facts(0.5)), 0U);
+  auto facts = test_facts(0.5);
+  facts[{FactKind::usual_rate, "g"}].figures["rate"] = 104;  // within measurement noise
   facts[{FactKind::zone_ladder, "a"}].times["next"] = at(50.1);
   EXPECT_EQ(k.observe(at(3), facts), 0U);
   facts[{FactKind::usual_rate, "g"}].figures["rate"] = 130;
@@ -32,44 +32,46 @@
   EXPECT_EQ(k.observe(at(4), facts), 2U);
   facts.erase({FactKind::zone_ladder, "a"});
   EXPECT_EQ(k.observe(at(5), facts), 1U);
-  const auto news = k.after(4);
-  ASSERT_EQ(news.size(), 1U);
-  EXPECT_TRUE(news[0].deleted);
+  const auto changes = k.after(4);
+  ASSERT_EQ(changes.size(), 1U);
+  EXPECT_TRUE(changes[0].deleted);
   k.purge_deleted(at(6), 4);
-  EXPECT_EQ(k.entries().size(), 2U) << "not everybody was told";
+  EXPECT_EQ(k.entries().size(), 2U) << "not every reader has received the tombstone";
   k.purge_deleted(at(6), 5);
   EXPECT_EQ(k.entries().size(), 1U);
 }
 
-// Whoever reads the log from anywhere, at any pace, ends with what is so: the log is its own snapshot.
-TEST(FactLog, AReaderAtAnyPaceEndsWithTheSame) {
+// A reader that starts anywhere and reads at any pace converges to the current facts: the log is its own
+// snapshot.
+TEST(FactLog, ReadersAtAnyPaceConverge) {
   std::mt19937 chance{5};
   FactLog k, copy;
-  std::uint64_t upto = 0;
-  Facts present;
+  std::uint64_t read_sequence = 0;
+  Facts current;
   for (int step = 0; step < 400; ++step) {
     const Subject s{FactKind::backend_ladder, "w" + std::to_string(chance() % 20)};
     if (chance() % 3 == 0) {
-      present.erase(s);
+      current.erase(s);
     } else {
-      present[s].figures["share"] = static_cast<double>(chance() % 10) / 10;
+      current[s].figures["share"] = static_cast<double>(chance() % 10) / 10;
     }
-    k.observe(at(step), present);
+    k.observe(at(step), current);
     if (chance() % 4 != 0) continue;
-    for (auto& e : k.after(upto, 1 + chance() % 5)) upto = e.sequence, copy.put(std::move(e));
+    for (auto& e : k.after(read_sequence, 1 + chance() % 5))
+      read_sequence = e.sequence, copy.put(std::move(e));
   }
-  for (auto& e : k.after(upto)) copy.put(std::move(e));
-  for (const auto& [subject, fact] : present) {
+  for (auto& e : k.after(read_sequence)) copy.put(std::move(e));
+  for (const auto& [subject, fact] : current) {
     const auto it = copy.entries().find(subject);
     ASSERT_NE(it, copy.entries().end());
     EXPECT_FALSE(it->second.deleted);
     EXPECT_EQ(it->second.fact.figures, fact.figures);
   }
   for (const auto& [subject, e] : copy.entries())
-    EXPECT_TRUE(e.deleted || present.contains(subject)) << subject.name;
+    EXPECT_TRUE(e.deleted || current.contains(subject)) << subject.name;
 }
 
-TEST(FactLog, IsBoundedAndLosesWhatIsTrustedLeast) {
+TEST(FactLog, IsBoundedAndRemovesTheLeastTrustedEntries) {
   FactLog k{10};
   Facts facts;
   for (int n = 0; n < 8; ++n) facts[{FactKind::zone_ladder, std::to_string(n)}].figures["share"] = 0;
@@ -80,7 +82,7 @@
   for (int n = 0; n < 8; ++n) EXPECT_TRUE(k.entries().contains({FactKind::person_out, std::to_string(n)}));
 }
 
-TEST(Codec, CarriesFactsAndMovesTimesToTheReadersClock) {
+TEST(Codec, RoundTripsFactsAndConvertsTimesToTheReadersClock) {
   std::vector<Entry> entries{{{FactKind::backend_ladder, "w1"},
                               {"127.0.0.1:9", {{"share", 0.25}}, {{"started", at(90)}}},
                               at(95),
@@ -100,7 +102,7 @@
   EXPECT_TRUE(got[1].deleted);
 }
 
-TEST(Codec, TakesNoBatchThatIsCutOrBent) {
+TEST(Codec, RejectsTruncatedAndCorruptedBatches) {
   std::vector<Entry> entries{
       {{FactKind::backend_ladder, "w1"}, {"m", {{"share", 0.25}}, {{"next", at(90)}}}, at(95), 7, false}};
   const std::string good = encode(entries, at(100));
@@ -109,9 +111,9 @@
     EXPECT_TRUE(std::holds_alternative<std::string>(decode(std::string_view{good}.substr(0, cut), at(0))))
         << cut;
   for (int n = 0; n < 20000; ++n) {
-    std::string bent = good;
-    bent[chance() % bent.size()] ^= static_cast<char>(1U << chance() % 8);
-    const auto read = decode(bent, at(0));
+    std::string corrupted = good;
+    corrupted[chance() % corrupted.size()] ^= static_cast<char>(1U << chance() % 8);
+    const auto read = decode(corrupted, at(0));
     if (!std::holds_alternative<std::vector<Entry>>(read)) continue;
     for (const auto& e : std::get<std::vector<Entry>>(read))
       for (const auto& [name, figure] : e.fact.figures) EXPECT_TRUE(std::isfinite(figure));
@@ -119,17 +121,17 @@
   entries[0].sequence = 0;
   EXPECT_EQ(std::get<std::string>(decode(encode(entries, at(100)), at(0))), "entry 0: no sequence");
   entries[0].sequence = 1, entries[0].fact.figures["share"] = NAN;
-  EXPECT_EQ(std::get<std::string>(decode(encode(entries, at(100)), at(0))), "entry 0: a figure out of range");
+  EXPECT_EQ(std::get<std::string>(decode(encode(entries, at(100)), at(0))), "entry 0: figure out of range");
 }
 
-TEST(Belief, EachKindAgesByItsNatureAndAWeekOldFileActsOnNothing) {
+TEST(FactConfidence, EachKindHasItsHalfLifeAndNoFactAppliesAfterAWeek) {
   const double week = 7 * 86400;
   for (std::size_t k = 0; k < kFactKindCount; ++k) {
     const FactKind kind = static_cast<FactKind>(k);
     EXPECT_EQ(classify(kind, Span::seconds(0.5)), FactUse::apply) << name_of(kind);
     EXPECT_NE(classify(kind, Span::seconds(week)), FactUse::apply) << name_of(kind);
     EXPECT_EQ(classify(kind, Span::seconds(-5)), FactUse::hint)
-        << "of the future: a clock lies; " << name_of(kind);
+        << "a negative age means a wrong clock; " << name_of(kind);
   }
   EXPECT_EQ(classify(FactKind::zone_ladder, Span::seconds(100)), FactUse::apply);
   EXPECT_EQ(classify(FactKind::zone_ladder, Span::seconds(200)), FactUse::hint);
@@ -138,7 +140,7 @@
   EXPECT_EQ(classify(FactKind::usual_rate, Span::seconds(week)), FactUse::hint);
 }
 
-TEST(Belief, AMemoryInWhichMostAreOutIsNotBelieved) {
+TEST(FactConfidence, BackendLaddersDoNotApplyIfTheyExcludeTooManyBackends) {
   std::vector<Entry> entries;
   entries.push_back({{FactKind::fleet, "fleet"}, {"", {{"backends", 10}}, {}}, at(0), 1, false});
   entries.push_back({{FactKind::zone_ladder, "a"}, {"", {{"share", 0}}, {}}, at(0), 2, false});
@@ -148,15 +150,15 @@
                        at(0),
                        3U + static_cast<unsigned>(k),
                        false});
-  const auto b = select_trusted(entries, at(1), at(2));
-  EXPECT_TRUE(b.too_many_excluded);
-  EXPECT_EQ(b.applicable.size(), 2U);
-  EXPECT_EQ(b.hints.size(), 5U);
+  const auto facts = select_trusted(entries, at(1), at(2));
+  EXPECT_TRUE(facts.too_many_excluded);
+  EXPECT_EQ(facts.applicable.size(), 2U);
+  EXPECT_EQ(facts.hints.size(), 5U);
   entries.resize(5);
   EXPECT_EQ(select_trusted(entries, at(1), at(2)).applicable.size(), 5U);
 }
 
-TEST(Belief, OfSeveralWhoKnowTheLowerShareAndTheLaterOrderCount) {
+TEST(FactConfidence, MergeKeepsTheLowestShareAndTheLatestCommand) {
   const Entry low{{FactKind::zone_ladder, "a"}, {"", {{"share", 0.1}}, {}}, at(1), 1, false};
   const Entry high{{FactKind::zone_ladder, "a"}, {"", {{"share", 0.9}}, {}}, at(5), 1, false};
   const Entry old{{FactKind::person_out, "w"}, {"", {{"out", 1}}, {}}, at(1), 2, false};
