--- a/src/spillover/spillover_planner.cpp
+++ b/src/spillover/spillover_planner.cpp
@@ -57,10 +57,10 @@
 SpilloverPlanner::SpilloverPlanner(std::vector<std::vector<int>> tier)
     : tier_{std::move(tier)}, zones_(tier_.empty() ? 0 : tier_[0].size()) {}
 
-std::optional<double> SpilloverPlanner::unit_capacity(const Zone& z) const {
+std::optional<double> SpilloverPlanner::unit_capacity(const Zone& zone) const {
   // The first rounds lag behind a load that has just started.
-  if (z.unit_capacities.size() < kSampleRounds / 2) return {};
-  return quantile(z.unit_capacities, kCapacityQuantile);
+  if (zone.unit_capacities.size() < kSampleRounds / 2) return {};
+  return quantile(zone.unit_capacities, kCapacityQuantile);
 }
 
 std::optional<double> SpilloverPlanner::capacity(std::size_t zone) const {
@@ -87,37 +87,39 @@
 
 // Tracks a zone's failure and return. So that a flapping zone moves little work, its limit drops at once and
 // each ramp after a relapse is slower.
-void SpilloverPlanner::update_zone(Instant now, Zone& z, const ZoneSample& sample) {
-  z.weight = sample.weight;
+void SpilloverPlanner::update_zone(Instant now, Zone& zone, const ZoneSample& sample) {
+  zone.weight = sample.weight;
   const double listed_share = sample.listed_weight > 0 ? sample.weight / sample.listed_weight : 0;
-  const bool rising = listed_share > std::exchange(z.listed_share, listed_share);
+  const bool rising = listed_share > std::exchange(zone.listed_share, listed_share);
   // While the other zones are overloaded, a first return is paced by the module's slow start alone: recovered
   // capacity is worth more than a gentler ramp, and slow start keeps cold backends well below the load at
   // which they fail.
-  const bool fast_return = now < overload_until_ && z.relapses == 0;
-  z.early_return = listed_share < kFailedShare && listed_share >= kTrialLimit &&
-                   (z.early_return || (fast_return && z.failed && rising));
-  if (listed_share < kFailedShare && !z.early_return) {
+  const bool fast_return = now < overload_until_ && zone.relapses == 0;
+  zone.early_return = listed_share < kFailedShare && listed_share >= kTrialLimit &&
+                      (zone.early_return || (fast_return && zone.failed && rising));
+  if (listed_share < kFailedShare && !zone.early_return) {
     // Listed weight that fluctuates for one round during a failure does not count as a relapse.
-    if (!z.failed && (z.capacity_limit < 1 || now - z.recovered_at < kHoldTime) &&
-        now - z.recovered_at >= kRampInterval)
-      ++z.relapses;
-    z.failed = true, z.capacity_limit = 0, z.last_step = now;
-    z.held_until = now + kHoldTime * (1 << std::min(z.relapses, 3));
+    if (!zone.failed && (zone.capacity_limit < 1 || now - zone.recovered_at < kHoldTime) &&
+        now - zone.recovered_at >= kRampInterval)
+      ++zone.relapses;
+    zone.failed = true, zone.capacity_limit = 0, zone.last_step = now;
+    zone.held_until = now + kHoldTime * (1 << std::min(zone.relapses, 3));
     return;
   }
-  if (z.failed) {
-    if (now < z.held_until && z.relapses > 0) return;
-    z.failed = false, z.capacity_limit = fast_return ? 1 : kTrialLimit, z.last_step = z.recovered_at = now;
+  if (zone.failed) {
+    if (now < zone.held_until && zone.relapses > 0) return;
+    zone.failed = false, zone.capacity_limit = fast_return ? 1 : kTrialLimit,
+    zone.last_step = zone.recovered_at = now;
     return;
   }
-  if (z.capacity_limit >= 1) {
-    if (now - z.last_step > kHoldTime * 4) z.relapses = 0;
+  if (zone.capacity_limit >= 1) {
+    if (now - zone.last_step > kHoldTime * 4) zone.relapses = 0;
     return;
   }
-  if (now - z.last_step < kRampInterval) return;
-  z.capacity_limit = std::min(1.0, z.capacity_limit + kRampStep * (z.relapses > 0 ? kRelapseRampFactor : 1)),
-  z.last_step = now;
+  if (now - zone.last_step < kRampInterval) return;
+  zone.capacity_limit =
+      std::min(1.0, zone.capacity_limit + kRampStep * (zone.relapses > 0 ? kRelapseRampFactor : 1)),
+  zone.last_step = now;
 }
 
 SpilloverPlanner::Decision SpilloverPlanner::decide(
@@ -125,38 +127,39 @@
     const std::vector<FlowProblem::OperationDemand>& operations, const ZoneLatencies& latencies,
     const UnreachablePairs& unreachable) {
   const std::size_t proxy_zones = tier_.size(), backend_zones = zones_.size();
-  Decision d;
-  d.tier_mismatch.assign(proxy_zones, false);
+  Decision decision;
+  decision.tier_mismatch.assign(proxy_zones, false);
   for (std::size_t b = 0; b < backend_zones; ++b) {
     Zone& z = zones_[b];
-    const ZoneSample& n = samples[b];
-    if (n.weight > 0 && n.cpu_utilization > kMinUtilization && n.cpu_utilization < kMaxUtilization) {
-      z.unit_capacities.push_back(n.goodput / n.cpu_utilization / n.weight);
+    const ZoneSample& sample = samples[b];
+    if (sample.weight > 0 && sample.cpu_utilization > kMinUtilization &&
+        sample.cpu_utilization < kMaxUtilization) {
+      z.unit_capacities.push_back(sample.goodput / sample.cpu_utilization / sample.weight);
       if (z.unit_capacities.size() > kSampleRounds) z.unit_capacities.pop_front();
     }
-    update_zone(now, z, n);
+    update_zone(now, z, sample);
   }
-  FlowProblem p;
-  p.operations = operations, p.tier = tier_;
+  FlowProblem problem;
+  problem.operations = operations, problem.tier = tier_;
   for (const auto& [a, b] : unreachable)
-    if (a < proxy_zones && b < backend_zones) p.tier[a][b] = -1;
+    if (a < proxy_zones && b < backend_zones) problem.tier[a][b] = -1;
   double demand = 0, unit_capacity_sum = 0;
   std::size_t reporting = 0;
-  for (const auto& c : operations)
-    for (const double n : c.demand) demand += n * c.cost;
+  for (const auto& operation : operations)
+    for (const double rate : operation.demand) demand += rate * operation.cost;
   for (std::size_t b = 0; b < backend_zones; ++b)
     if (const auto c = capacity(b); c && zones_[b].weight > 0 && zones_[b].capacity_limit > 0)
       unit_capacity_sum += *c / zones_[b].weight / zones_[b].capacity_limit, ++reporting;
   demand_ = demand;
-  if (demand <= 0) return d;
+  if (demand <= 0) return decision;
   for (std::size_t b = 0; b < backend_zones; ++b) {
     const Zone& z = zones_[b];
     // A zone without samples is assumed to match the average of the others; if no zone has samples the fleet
     // is idle and any zone can take all work.
     const double per_unit = reporting > 0 ? unit_capacity_sum / static_cast<double>(reporting)
                                           : 2 * demand / std::max(1e-9, z.weight);
-    p.capacity.push_back(kTargetUtilization *
-                         capacity(b).value_or(kCapacityMargin * per_unit * z.weight * z.capacity_limit));
+    problem.capacity.push_back(
+        kTargetUtilization * capacity(b).value_or(kCapacityMargin * per_unit * z.weight * z.capacity_limit));
   }
   // A measured latency above that of a zone in a later tier contradicts the settings. The settings still
   // apply; the mismatch is reported to the operator.
@@ -169,25 +172,26 @@
           continue;
         const Span lower = std::min(to_b->second, to_c->second);
         if (to_b->second - to_c->second > std::max(Span::seconds(0.001), lower * kLatencyNoise))
-          d.tier_mismatch[a] = true;
+          decision.tier_mismatch[a] = true;
       }
   std::vector<double> zone_demand(proxy_zones, 0);
-  for (const auto& c : operations)
-    for (std::size_t a = 0; a < proxy_zones; ++a) zone_demand[a] += c.demand[a] * c.cost;
+  for (const auto& operation : operations)
+    for (std::size_t a = 0; a < proxy_zones; ++a) zone_demand[a] += operation.demand[a] * operation.cost;
   if (!shares_.empty()) {
-    p.current_flow.assign(proxy_zones, std::vector<double>(backend_zones, 0));
+    problem.current_flow.assign(proxy_zones, std::vector<double>(backend_zones, 0));
     for (std::size_t a = 0; a < proxy_zones; ++a)
-      for (std::size_t b = 0; b < backend_zones; ++b) p.current_flow[a][b] = shares_[a][b] * zone_demand[a];
+      for (std::size_t b = 0; b < backend_zones; ++b)
+        problem.current_flow[a][b] = shares_[a][b] * zone_demand[a];
   }
-  FlowSolution s = solve(p);
-  d.admitted = s.admitted;
+  FlowSolution solution = solve(problem);
+  decision.admitted = solution.admitted;
   std::vector<std::vector<double>> target(proxy_zones, std::vector<double>(backend_zones, 0));
   double total_capacity = 0;
   for (const auto& z : zones_) total_capacity += z.weight * z.capacity_limit;
   double value = 0;
-  for (const auto& c : operations)
-    for (const double n : c.demand) value += n * c.billed_value;
-  if (s.lost_value > 1e-3 * value) {
+  for (const auto& operation : operations)
+    for (const double rate : operation.demand) value += rate * operation.billed_value;
+  if (solution.lost_value > 1e-3 * value) {
     if (now >= overload_until_) {
       const auto forgotten = (now - overload_began_).micros() / kOverloadForgetInterval.micros();
       recent_overloads_ = static_cast<int>(std::max<std::int64_t>(
@@ -196,12 +200,12 @@
     }
     overload_until_ = std::max(overload_until_, now + kHoldTime * (1 << recent_overloads_));
   }
-  d.overloaded = now < overload_until_;
+  decision.overloaded = now < overload_until_;
   // Each table limits a cold backend to the module's slow-start weight, so a returning zone fills only if all
   // proxy zones route to it: each gives it the same share and splits the rest as before.
   std::vector<double> ramped(backend_zones, 0);
   double rest = 1;
-  if (d.overloaded && total_capacity > 0) {
+  if (decision.overloaded && total_capacity > 0) {
     std::size_t recovered = 0;
     for (std::size_t b = 0; b < backend_zones; ++b) {
       const Zone& z = zones_[b];
@@ -211,25 +215,27 @@
     }
     if (recovered == 0) ramped.assign(backend_zones, 0), rest = 1;  // every zone is still returning
     for (std::size_t b = 0; b < backend_zones; ++b) {
-      p.overload_shares.push_back(
+      problem.overload_shares.push_back(
           ramped[b] > 0 ? 0 : zones_[b].weight * zones_[b].capacity_limit / total_capacity);
-      for (std::size_t a = 0; a < proxy_zones && p.overload_shares[b] <= 0; ++a) p.tier[a][b] = -1;
+      for (std::size_t a = 0; a < proxy_zones && problem.overload_shares[b] <= 0; ++a)
+        problem.tier[a][b] = -1;
     }
-    s = solve(p);
+    solution = solve(problem);
   }
   for (std::size_t a = 0; a < proxy_zones; ++a) {
     double sum = 0;
-    for (const double f : s.flow[a]) sum += f;
+    for (const double flow : solution.flow[a]) sum += flow;
     for (std::size_t b = 0; b < backend_zones; ++b) {
       const Zone& z = zones_[b];
       const double proportional = total_capacity > 0 ? z.weight * z.capacity_limit / total_capacity
                                                      : 1.0 / static_cast<double>(backend_zones);
-      target[a][b] = ramped[b] > 0      ? ramped[b]
-                     : p.tier[a][b] < 0 ? 0
-                                        : rest * (sum <= 1e-9 ? proportional : s.flow[a][b] / sum);
+      target[a][b] = ramped[b] > 0 ? ramped[b]
+                     : problem.tier[a][b] < 0
+                         ? 0
+                         : rest * (sum <= 1e-9 ? proportional : solution.flow[a][b] / sum);
     }
     // No backend zone is reachable: the module's table applies unchanged.
-    if (std::all_of(target[a].begin(), target[a].end(), [](double w) { return w <= 0; }))
+    if (std::all_of(target[a].begin(), target[a].end(), [](double share) { return share <= 0; }))
       target[a].assign(backend_zones, 1.0 / static_cast<double>(backend_zones));
   }
   // No proxy zone depends on one backend zone: if that failed, it would have no fallback until the next table
@@ -237,23 +243,23 @@
   for (std::size_t a = 0; a < proxy_zones; ++a) {
     double sum = 0;
     for (std::size_t b = 0; b < backend_zones; ++b) {
-      if (p.tier[a][b] >= 0 && zones_[b].weight * zones_[b].capacity_limit > 0)
+      if (problem.tier[a][b] >= 0 && zones_[b].weight * zones_[b].capacity_limit > 0)
         target[a][b] = std::max(target[a][b], kMinShare);
       sum += target[a][b];
     }
-    for (double& part : target[a]) part /= std::max(1e-9, sum);
+    for (double& share : target[a]) share /= std::max(1e-9, sum);
   }
   const auto set_failover_tiers = [&] {
-    d.failover_tier.assign(proxy_zones, std::vector<int>(backend_zones, 0));
+    decision.failover_tier.assign(proxy_zones, std::vector<int>(backend_zones, 0));
     for (std::size_t a = 0; a < proxy_zones; ++a)
       for (std::size_t b = 0; b < backend_zones; ++b)
-        if (shares_[a][b] <= kMinShare * 2) d.failover_tier[a][b] = std::max(0, tier_[a][b]);
+        if (shares_[a][b] <= kMinShare * 2) decision.failover_tier[a][b] = std::max(0, tier_[a][b]);
   };
   if (shares_.empty()) {
-    d.shares = shares_ = target;
-    d.moved = 1;
+    decision.shares = shares_ = target;
+    decision.moved = 1;
     set_failover_tiers();
-    return d;
+    return decision;
   }
   for (std::size_t a = 0; a < proxy_zones; ++a) {
     double moved = 0, forced = 0;
@@ -262,24 +268,24 @@
       if (decrease <= 0) continue;
       moved += decrease;
       // Work in a failed or unreachable zone moves at once.
-      if (zones_[b].failed || p.tier[a][b] < 0) forced += decrease;
+      if (zones_[b].failed || problem.tier[a][b] < 0) forced += decrease;
     }
     if (moved < kMinMovedShare && forced <= 0) continue;
     const double limit = std::min(moved, forced + kMaxMovedShare);
     const double step = limit / moved;
     for (std::size_t b = 0; b < backend_zones; ++b) {
       double to = shares_[a][b] + (target[a][b] - shares_[a][b]) * step;
-      if (zones_[b].failed || p.tier[a][b] < 0) to = target[a][b];
+      if (zones_[b].failed || problem.tier[a][b] < 0) to = target[a][b];
       shares_[a][b] = std::max(0.0, to);
     }
     double sum = 0;
-    for (const double v : shares_[a]) sum += v;
-    for (double& v : shares_[a]) v /= sum;
-    d.moved += limit * zone_demand[a] / demand;
+    for (const double share : shares_[a]) sum += share;
+    for (double& share : shares_[a]) share /= sum;
+    decision.moved += limit * zone_demand[a] / demand;
   }
-  d.shares = shares_;
+  decision.shares = shares_;
   set_failover_tiers();
-  return d;
+  return decision;
 }
 
 }  // namespace gorsemount::spillover
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -61,26 +61,26 @@
     truncated_ = left.size() < kHeaderBytes;
     if (truncated_) return bad("truncated record header");
     if (read_int<std::uint32_t>(left, 0) != kMagic) return bad("no record starts here");
-    Record r;
-    r.schema = read_int<std::uint16_t>(left, 4), r.kind = read_int<std::uint8_t>(left, 6);
+    Record record;
+    record.schema = read_int<std::uint16_t>(left, 4), record.kind = read_int<std::uint8_t>(left, 6);
     const bool has_mac = read_int<std::uint8_t>(left, 7) != 0;
     const std::size_t length = read_int<std::uint32_t>(left, 8);
-    r.sequence = read_int<std::uint64_t>(left, 12), r.at.wall_us = read_int<std::int64_t>(left, 20),
-    r.at.monotonic_us = read_int<std::int64_t>(left, 28);
+    record.sequence = read_int<std::uint64_t>(left, 12), record.at.wall_us = read_int<std::int64_t>(left, 20),
+    record.at.monotonic_us = read_int<std::int64_t>(left, 28);
     if (length > kMaxPayloadBytes)
       return bad("record with an invalid length of " + std::to_string(length) + " bytes");
-    r.size = kHeaderBytes + length + kChecksumBytes + (has_mac ? kMacBytes : 0);
-    truncated_ = left.size() < r.size;
+    record.size = kHeaderBytes + length + kChecksumBytes + (has_mac ? kMacBytes : 0);
+    truncated_ = left.size() < record.size;
     if (truncated_) return bad("truncated record");
     if (s_->check && XXH3_64bits(left.data(), kHeaderBytes + length) !=
                          read_int<std::uint64_t>(left, kHeaderBytes + length))
       return bad("checksum mismatch");
-    if (r.schema > kSchema)
-      return bad("schema " + std::to_string(r.schema) + "; the highest supported is " +
+    if (record.schema > kSchema)
+      return bad("schema " + std::to_string(record.schema) + "; the highest supported is " +
                  std::to_string(kSchema));
-    if (r.schema + 1 < kSchema) return bad("schema " + std::to_string(r.schema) + " is too old");
-    if (s_->check && r.sequence != sequence_ + 1)
-      return bad("record " + std::to_string(r.sequence) + " where " + std::to_string(sequence_ + 1) +
+    if (record.schema + 1 < kSchema) return bad("schema " + std::to_string(record.schema) + " is too old");
+    if (s_->check && record.sequence != sequence_ + 1)
+      return bad("record " + std::to_string(record.sequence) + " where " + std::to_string(sequence_ + 1) +
                  " was expected");
     if (s_->key) {
       if (!has_mac) return bad("no MAC, but a key is configured");
@@ -92,10 +92,10 @@
         return bad("MAC mismatch");
       std::memcpy(previous_mac_.data(), left.data() + kHeaderBytes + length + kChecksumBytes, kMacBytes);
     }
-    sequence_ = r.sequence;
-    r.payload = left.substr(kHeaderBytes, length);
-    at_ += r.size;
-    return r;
+    sequence_ = record.sequence;
+    record.payload = left.substr(kHeaderBytes, length);
+    at_ += record.size;
+    return record;
   }
   [[nodiscard]] const std::string& fault() const { return fault_; }
   [[nodiscard]] std::size_t at() const { return consumed_ + at_; }
@@ -151,25 +151,25 @@
     ClockReading last;
     bool complete = false, malformed = false;
     std::string boot, owner_mismatch;
-    while (const auto r = reader.next()) {
-      last = r->at;
-      if (r->kind == identity) {
-        const auto separator = r->payload.find('\0');
-        const std::string owner{r->payload.substr(0, separator)};
-        boot = separator == std::string_view::npos ? "" : std::string{r->payload.substr(separator + 1)};
+    while (const auto record = reader.next()) {
+      last = record->at;
+      if (record->kind == identity) {
+        const auto separator = record->payload.find('\0');
+        const std::string owner{record->payload.substr(0, separator)};
+        boot = separator == std::string_view::npos ? "" : std::string{record->payload.substr(separator + 1)};
         if (!s.owner.empty() && owner != s.owner) {  // empty: an operator's inspection accepts any owner
           owner_mismatch = "it belongs to '" + owner + "', not to '" + s.owner + "'";
           break;
         }
-      } else if (r->kind == facts || r->kind == changes) {
-        auto entries = recovery::decode(r->payload, Instant{} + Span::micros(r->at.monotonic_us));
+      } else if (record->kind == facts || record->kind == changes) {
+        auto entries = recovery::decode(record->payload, Instant{} + Span::micros(record->at.monotonic_us));
         if (const auto* fault = std::get_if<std::string>(&entries)) {
           result.faults.push_back(file + ": before byte " + std::to_string(reader.at()) + ": " + *fault);
           malformed = true;
           break;
         }
         for (auto& e : std::get<std::vector<Entry>>(entries)) log.put(std::move(e));
-      } else if (r->kind == snapshot_end) {
+      } else if (record->kind == snapshot_end) {
         complete = true;
       }
     }
@@ -206,22 +206,22 @@
 
 void Store::append_record(std::string& out, std::uint8_t kind, const ClockReading& now,
                           std::string_view payload) {
-  std::string r;
-  append_int(r, kMagic), append_int(r, kSchema), append_int(r, kind),
-      append_int(r, static_cast<std::uint8_t>(s_.key ? 1 : 0));
-  append_int(r, static_cast<std::uint32_t>(payload.size())), append_int(r, ++sequence_),
-      append_int(r, now.wall_us), append_int(r, now.monotonic_us);
-  r += payload;
-  const std::uint64_t checksum = XXH3_64bits(r.data(), r.size());
+  std::string record;
+  append_int(record, kMagic), append_int(record, kSchema), append_int(record, kind),
+      append_int(record, static_cast<std::uint8_t>(s_.key ? 1 : 0));
+  append_int(record, static_cast<std::uint32_t>(payload.size())), append_int(record, ++sequence_),
+      append_int(record, now.wall_us), append_int(record, now.monotonic_us);
+  record += payload;
+  const std::uint64_t checksum = XXH3_64bits(record.data(), record.size());
   if (s_.key) {
     std::string text{reinterpret_cast<const char*>(previous_mac_.data()), previous_mac_.size()};
-    text += r;
+    text += record;
     crypto_auth_hmacsha512256(previous_mac_.data(), reinterpret_cast<const std::uint8_t*>(text.data()),
                               text.size(), s_.key->data());
   }
-  append_int(r, checksum);
-  if (s_.key) r.append(reinterpret_cast<const char*>(previous_mac_.data()), previous_mac_.size());
-  out += r;
+  append_int(record, checksum);
+  if (s_.key) record.append(reinterpret_cast<const char*>(previous_mac_.data()), previous_mac_.size());
+  out += record;
 }
 
 Store::Store(Disk& disk, StoreSettings settings, const ClockReading& now, const std::vector<Entry>& entries)
@@ -259,10 +259,9 @@
   for (std::size_t k = kKeptGenerations; k < all.size(); ++k) disk_->remove(file_name(all[k]));
 }
 
-void Store::write(const ClockReading& now, const std::vector<Entry>& new_entries) {
+void Store::write(const ClockReading& now, const std::vector<Entry>& entries) {
   std::string bytes;
-  append_record(bytes, changes, now,
-                recovery::encode(new_entries, Instant{} + Span::micros(now.monotonic_us)));
+  append_record(bytes, changes, now, recovery::encode(entries, Instant{} + Span::micros(now.monotonic_us)));
   disk_->append(file_name(generation_), bytes);
   log_bytes_ += bytes.size(), bytes_ += bytes.size();
 }
@@ -297,32 +296,34 @@
 FileCheck FileVerifier::result() const { return state_->result; }
 
 std::size_t FileVerifier::read_slice(std::size_t max_bytes) {
-  State& v = *state_;
-  if (v.done) return 0;
+  State& state = *state_;
+  if (state.done) return 0;
   std::string more;
   try {
-    more = v.disk.read_range(v.result.file, v.result.bytes, max_bytes);
+    more = state.disk.read_range(state.result.file, state.result.bytes, max_bytes);
   } catch (const DiskError& fault) {
-    const auto names = v.disk.list();
-    if (std::find(names.begin(), names.end(), v.result.file) != names.end()) v.result.fault = fault.what();
-    v.done = true;
+    const auto names = state.disk.list();
+    if (std::find(names.begin(), names.end(), state.result.file) != names.end())
+      state.result.fault = fault.what();
+    state.done = true;
     return 0;
   }
-  v.bytes.erase(0, v.reader.at() - (v.result.bytes - v.bytes.size()));
-  v.bytes += more, v.result.bytes += more.size();
-  v.reader.continue_with(v.bytes);
-  while (const auto r = v.reader.next()) {
-    ++v.result.records;
-    v.result.snapshot_complete = v.result.snapshot_complete || r->kind == snapshot_end;
-    if (r->kind != facts && r->kind != changes) continue;
-    if (const auto entries = recovery::decode(r->payload, Instant{});
-        std::holds_alternative<std::string>(entries) && v.result.fault.empty())
-      v.result.fault = "before byte " + std::to_string(v.reader.at()) + ": " + std::get<std::string>(entries);
+  state.bytes.erase(0, state.reader.at() - (state.result.bytes - state.bytes.size()));
+  state.bytes += more, state.result.bytes += more.size();
+  state.reader.continue_with(state.bytes);
+  while (const auto record = state.reader.next()) {
+    ++state.result.records;
+    state.result.snapshot_complete = state.result.snapshot_complete || record->kind == snapshot_end;
+    if (record->kind != facts && record->kind != changes) continue;
+    if (const auto entries = recovery::decode(record->payload, Instant{});
+        std::holds_alternative<std::string>(entries) && state.result.fault.empty())
+      state.result.fault =
+          "before byte " + std::to_string(state.reader.at()) + ": " + std::get<std::string>(entries);
   }
-  v.result.valid_bytes = v.reader.at();
+  state.result.valid_bytes = state.reader.at();
   const bool at_end = more.size() < max_bytes;
-  v.done = at_end || !(v.reader.fault().empty() || v.reader.is_truncated());
-  if (v.done && v.result.fault.empty()) v.result.fault = v.reader.fault();
+  state.done = at_end || !(state.reader.fault().empty() || state.reader.is_truncated());
+  if (state.done && state.result.fault.empty()) state.result.fault = state.reader.fault();
   return more.size();
 }
 
@@ -334,9 +335,9 @@
 std::vector<FileCheck> verify(Disk& disk, const StoreSettings& s) {
   std::vector<FileCheck> all;
   for (const auto generation : list_generations(disk)) {
-    FileVerifier v{disk, s, std::to_string(generation) + ".store"};
-    while (!v.done()) v.read_slice(kVerifySliceBytes);
-    all.push_back(v.result());
+    FileVerifier verifier{disk, s, std::to_string(generation) + ".store"};
+    while (!verifier.done()) verifier.read_slice(kVerifySliceBytes);
+    all.push_back(verifier.result());
   }
   return all;
 }
--- a/tests/background/executor_test.cpp
+++ b/tests/background/executor_test.cpp
@@ -45,23 +45,23 @@
   const auto write = s.add({"write", 0, span(0.5), 0, 1}, at(0));
   const auto check = s.add({"check", 2, span(1), 1000, 1}, at(0));
   const auto snapshot = s.add({"snapshot", 1, {}, 0, 1}, at(0));
-  const auto ran = [&](TaskId task, double now, double took, std::uint64_t bytes, bool done) {
-    s.step_started(task, at(now)), s.step_finished(task, at(now), span(took), bytes, done);
+  const auto run_step = [&](TaskId task, double now, double duration, std::uint64_t bytes, bool done) {
+    s.step_started(task, at(now)), s.step_finished(task, at(now), span(duration), bytes, done);
   };
   EXPECT_FALSE(s.next(at(0.1), Lane::general));
   EXPECT_EQ(s.next_wakeup(at(0.1), Lane::general), at(0.5));
   EXPECT_EQ(s.next(at(2), Lane::general), write);
   s.request_run(snapshot, at(2));
   EXPECT_EQ(s.next(at(2), Lane::deadline), write);
-  ran(write, 2, 0.01, 100, true);
+  run_step(write, 2, 0.01, 100, true);
   EXPECT_FALSE(s.next(at(2), Lane::deadline)) << "no other task has a deadline";
   EXPECT_EQ(s.next(at(2), Lane::general), snapshot);
-  ran(snapshot, 2, 0.02, 100, true);
+  run_step(snapshot, 2, 0.02, 100, true);
   EXPECT_EQ(s.next(at(2), Lane::general), check);
-  ran(check, 2, 0.1, 5000, false);
+  run_step(check, 2, 0.1, 5000, false);
   EXPECT_FALSE(s.next(at(2.1), Lane::general)) << "its byte budget is used up";
   EXPECT_EQ(s.next(at(7.1), Lane::general), write);
-  ran(write, 7.1, 0, 0, true);
+  run_step(write, 7.1, 0, 0, true);
   EXPECT_EQ(s.next(at(7.1), Lane::general), check) << "the run continues";
   EXPECT_EQ(s.counters(check).longest_step, span(0.1));
 }
@@ -78,7 +78,7 @@
 // stays first.
 TEST(Scheduler, NoTaskStarves) {
   SimulatedLane p;
-  const auto deadline_task = p.s.add({"promise", 0, span(0.5), 0, 1}, at(0));
+  const auto deadline_task = p.s.add({"deadline", 0, span(0.5), 0, 1}, at(0));
   const auto busy = p.s.add({"busy", 1, {}, 0, 1}, at(0)), low = p.s.add({"low", 4, {}, 0, 1}, at(0));
   p.s.request_run(busy, at(0)), p.s.request_run(low, at(0));
   double first_low = -1;
@@ -119,7 +119,7 @@
     return StepResult{};
   });
   std::atomic<int> writes{0};
-  const auto deadline_task = b.add({"promise", 0, span(0.002), 0, 1}, [&] {
+  const auto deadline_task = b.add({"deadline", 0, span(0.002), 0, 1}, [&] {
     ++writes;
     return StepResult{};
   });
@@ -136,9 +136,9 @@
 
 TEST(Executor, NeverRunsATaskConcurrentlyWithItself) {
   Executor b{net::monotonic_now};
-  std::atomic<int> inside{0}, most{0}, runs{0};
+  std::atomic<int> inside{0}, max_concurrent{0}, runs{0};
   const auto task = b.add({"often", 0, {}, 0, 1}, [&] {
-    most = std::max(most.load(), ++inside);
+    max_concurrent = std::max(max_concurrent.load(), ++inside);
     std::this_thread::sleep_for(std::chrono::microseconds(200));
     --inside, ++runs;
     return StepResult{1, runs % 3 == 0};
@@ -148,7 +148,7 @@
     std::this_thread::yield();
   }
   b.remove(task);
-  EXPECT_EQ(most, 1);
+  EXPECT_EQ(max_concurrent, 1);
 }
 
 TEST(Loop, RunsWorkPostedByOtherThreads) {
--- a/tests/recovery/recovery_test.cpp
+++ b/tests/recovery/recovery_test.cpp
@@ -20,32 +20,32 @@
 }
 
 TEST(FactLog, AppendsOnlyDifferencesAndTombstones) {
-  FactLog k;
-  EXPECT_EQ(k.observe(at(1), test_facts(0.5)), 2U);
-  EXPECT_EQ(k.observe(at(2), test_facts(0.5)), 0U);
+  FactLog log;
+  EXPECT_EQ(log.observe(at(1), test_facts(0.5)), 2U);
+  EXPECT_EQ(log.observe(at(2), test_facts(0.5)), 0U);
   auto facts = test_facts(0.5);
   facts[{FactKind::usual_rate, "g"}].figures["rate"] = 104;  // within measurement noise
   facts[{FactKind::zone_ladder, "a"}].times["next"] = at(50.1);
-  EXPECT_EQ(k.observe(at(3), facts), 0U);
+  EXPECT_EQ(log.observe(at(3), facts), 0U);
   facts[{FactKind::usual_rate, "g"}].figures["rate"] = 130;
   facts[{FactKind::zone_ladder, "a"}].figures["share"] = 0.4999;
-  EXPECT_EQ(k.observe(at(4), facts), 2U);
+  EXPECT_EQ(log.observe(at(4), facts), 2U);
   facts.erase({FactKind::zone_ladder, "a"});
-  EXPECT_EQ(k.observe(at(5), facts), 1U);
-  const auto changes = k.after(4);
+  EXPECT_EQ(log.observe(at(5), facts), 1U);
+  const auto changes = log.after(4);
   ASSERT_EQ(changes.size(), 1U);
   EXPECT_TRUE(changes[0].deleted);
-  k.purge_deleted(at(6), 4);
-  EXPECT_EQ(k.entries().size(), 2U) << "not every reader has received the tombstone";
-  k.purge_deleted(at(6), 5);
-  EXPECT_EQ(k.entries().size(), 1U);
+  log.purge_deleted(at(6), 4);
+  EXPECT_EQ(log.entries().size(), 2U) << "not every reader has received the tombstone";
+  log.purge_deleted(at(6), 5);
+  EXPECT_EQ(log.entries().size(), 1U);
 }
 
 // A reader that starts anywhere and reads at any pace converges to the current facts: the log is its own
 // snapshot.
 TEST(FactLog, ReadersAtAnyPaceConverge) {
   std::mt19937 chance{5};
-  FactLog k, copy;
+  FactLog log, copy;
   std::uint64_t read_sequence = 0;
   Facts current;
   for (int step = 0; step < 400; ++step) {
@@ -55,12 +55,12 @@
     } else {
       current[s].figures["share"] = static_cast<double>(chance() % 10) / 10;
     }
-    k.observe(at(step), current);
+    log.observe(at(step), current);
     if (chance() % 4 != 0) continue;
-    for (auto& e : k.after(read_sequence, 1 + chance() % 5))
+    for (auto& e : log.after(read_sequence, 1 + chance() % 5))
       read_sequence = e.sequence, copy.put(std::move(e));
   }
-  for (auto& e : k.after(read_sequence)) copy.put(std::move(e));
+  for (auto& e : log.after(read_sequence)) copy.put(std::move(e));
   for (const auto& [subject, fact] : current) {
     const auto it = copy.entries().find(subject);
     ASSERT_NE(it, copy.entries().end());
@@ -72,14 +72,14 @@
 }
 
 TEST(FactLog, IsBoundedAndRemovesTheLeastTrustedEntries) {
-  FactLog k{10};
+  FactLog log{10};
   Facts facts;
   for (int n = 0; n < 8; ++n) facts[{FactKind::zone_ladder, std::to_string(n)}].figures["share"] = 0;
-  k.observe(at(0), facts);
+  log.observe(at(0), facts);
   for (int n = 0; n < 8; ++n) facts[{FactKind::person_out, std::to_string(n)}].figures["out"] = 1;
-  k.observe(at(100), facts);
-  EXPECT_EQ(k.entries().size(), 10U);
-  for (int n = 0; n < 8; ++n) EXPECT_TRUE(k.entries().contains({FactKind::person_out, std::to_string(n)}));
+  log.observe(at(100), facts);
+  EXPECT_EQ(log.entries().size(), 10U);
+  for (int n = 0; n < 8; ++n) EXPECT_TRUE(log.entries().contains({FactKind::person_out, std::to_string(n)}));
 }
 
 TEST(Codec, RoundTripsFactsAndConvertsTimesToTheReadersClock) {
