--- a/src/spillover/flow_solver.hpp
+++ b/src/spillover/flow_solver.hpp
@@ -17,8 +17,8 @@
   };
   std::vector<OperationDemand> operations;
   std::vector<double> capacity;  // cost per second, by backend zone
-  std::vector<std::vector<int>>
-      tier;  // [proxy zone][backend zone]: 0 own, 1 near, 2 far; negative: unreachable
+  // [proxy zone][backend zone]: 0 own, 1 near, 2 far; negative: unreachable
+  std::vector<std::vector<int>> tier;
   std::vector<std::vector<double>> current_flow;  // cost per second; empty: unknown
   // Used under overload, by backend zone: all work is placed regardless of capacity, minimizing the largest
   // ratio of a zone's load to its share here. Empty: work beyond capacity is lost.
--- a/src/spillover/spillover_planner.hpp
+++ b/src/spillover/spillover_planner.hpp
@@ -59,8 +59,8 @@
 
  private:
   struct Zone {
-    std::deque<double>
-        unit_capacities;  // cost per second per unit of weight at full utilization, latest rounds
+    // Cost per second per unit of weight at full utilization, in the latest rounds.
+    std::deque<double> unit_capacities;
     double weight = 0;
     double capacity_limit = 1;  // fraction of its capacity, while it returns from a failure
     bool failed = false;
