--- a/bench/store_bench.cpp
+++ b/bench/store_bench.cpp
@@ -84,7 +84,7 @@
   s.cold_for = Span::seconds(10), s.cold_from = 0.2;
   s.tip_multiple = 3, s.lifetime_most = Span::seconds(5), s.group_idle = Span::seconds(60), s.lines_most = 16,
   s.addresses_most = 2;
-  coordinator::Coordinator core{s, coordinator::module_of(s)};
+  coordinator::Coordinator core{s, coordinator::policy_decision_maker(s)};
   std::vector<coordinator::RosterEntry> roster;
   for (int k = 0; k < workers; ++k) {
     coordinator::RosterEntry e;
@@ -92,9 +92,9 @@
     e.at = {{}, static_cast<std::uint16_t>(1024 + k)};
     roster.push_back(e);
   }
-  static_cast<void>(core.step(Instant::at_seconds(1), {coordinator::RosterHeard{roster}}));
+  static_cast<void>(core.step(Instant::at_seconds(1), {coordinator::RosterUpdate{roster}}));
   for (int k = 0; k < 30; ++k)
-    static_cast<void>(core.step(Instant::at_seconds(3 + 0.2 * k), {coordinator::LookedUp{ProxyId{0}}}));
+    static_cast<void>(core.step(Instant::at_seconds(3 + 0.2 * k), {coordinator::GroupLookup{ProxyId{0}}}));
   std::vector<double> took;
   for (int k = 0; k < 2000; ++k) {
     const auto begin = std::chrono::steady_clock::now();
--- a/src/cluster/replication.cpp
+++ b/src/cluster/replication.cpp
@@ -42,7 +42,7 @@
 }
 
 void Replication::tell(Instant now, MemberId to, Peer& peer) {
-  News news{start_, peer.acked, peer.acked, own_.last_sequence(), peer.echo, {}};
+  ReplicationBatch news{start_, peer.acked, peer.acked, own_.last_sequence(), peer.echo, {}};
   auto entries = own_.after(peer.acked, kBatch);
   while (!entries.empty()) {
     news.facts = recovery::encode(entries, now);
@@ -80,7 +80,7 @@
   return next;
 }
 
-void Replication::take(Instant now, MemberId from, const News& news) {
+void Replication::take(Instant now, MemberId from, const ReplicationBatch& news) {
   Copy& copy = copies_.at(from);
   const auto answer = [&] { send(from, Heard{copy.start, copy.upto, micros(now)}); };
   if (news.start < copy.start) return;  // of a life that is over
@@ -114,7 +114,7 @@
 void Replication::receive(Instant now, const Message& m) {
   const auto it = peers_.find(m.from);
   if (it == peers_.end()) return;
-  if (const auto* news = std::get_if<News>(&m.body)) {
+  if (const auto* news = std::get_if<ReplicationBatch>(&m.body)) {
     take(now, m.from, *news);
   } else if (const auto* heard = std::get_if<Heard>(&m.body)) {
     Peer& peer = it->second;
--- a/src/cluster/replication.hpp
+++ b/src/cluster/replication.hpp
@@ -8,7 +8,7 @@
 #include <optional>
 #include <vector>
 
-#include "cluster/types.hpp"
+#include "cluster/messages.hpp"
 #include "recovery/fact_log.hpp"
 
 namespace gorsemount::cluster {
@@ -59,7 +59,7 @@
   };
   void send(MemberId to, Body body);
   void tell(Instant now, MemberId to, Peer& peer);
-  void take(Instant now, MemberId from, const News& news);
+  void take(Instant now, MemberId from, const ReplicationBatch& news);
 
   MemberId self_;
   ReplicationSettings s_;
--- a/src/coordinator/remember.cpp
+++ b/src/coordinator/state_transfer.cpp
@@ -24,13 +24,13 @@
 // be idle.
 const Span kSeenNews = Span::seconds(2.5);
 
-Fact of_rung(const Memory::Rung& rung, Instant now) {
+Fact of_rung(const PolicySnapshot::ShareState& rung, Instant now) {
   Fact f;
   f.figures = {{"share", rung.share},
-               {"falling", rung.falling ? 1 : 0},
-               {"eased", rung.eased ? 1 : 0},
-               {"relapses", rung.relapses}};
-  f.times = {{"next", now + rung.next_in}, {"changed", now - rung.changed_ago}};
+               {"falling", rung.reducing ? 1 : 0},
+               {"eased", rung.was_slow ? 1 : 0},
+               {"relapses", rung.failed_trials}};
+  f.times = {{"next", now + rung.next_step_in}, {"changed", now - rung.since_change}};
   return f;
 }
 
@@ -44,15 +44,15 @@
 }
 
 // Out of range is what no ladder can be; empty then.
-std::optional<Memory::Rung> rung_of(const Fact& f, Instant now) {
-  Memory::Rung rung;
-  rung.share = figure(f, "share", -1), rung.falling = figure(f, "falling", 0) > 0,
-  rung.eased = figure(f, "eased", 0) > 0;
+std::optional<PolicySnapshot::ShareState> rung_of(const Fact& f, Instant now) {
+  PolicySnapshot::ShareState rung;
+  rung.share = figure(f, "share", -1), rung.reducing = figure(f, "falling", 0) > 0,
+  rung.was_slow = figure(f, "eased", 0) > 0;
   const double relapses = figure(f, "relapses", 0);
   if (!(rung.share >= 0 && rung.share <= 1) || !(relapses >= 0 && relapses <= 1000)) return {};
-  rung.relapses = static_cast<int>(relapses);
-  rung.next_in = time_of(f, "next").value_or(now) - now,
-  rung.changed_ago = now - time_of(f, "changed").value_or(now);
+  rung.failed_trials = static_cast<int>(relapses);
+  rung.next_step_in = time_of(f, "next").value_or(now) - now,
+  rung.since_change = now - time_of(f, "changed").value_or(now);
   return rung;
 }
 
@@ -69,8 +69,8 @@
     if (const auto started = evidence_.started(id)) f.times["started"] = *started;
     return f;
   };
-  if (decide_.remember) {
-    const Memory m = decide_.remember(now_);
+  if (decide_.export_state) {
+    const PolicySnapshot m = decide_.export_state(now_);
     for (const auto& [zone, rung] : m.zones)
       if (zone.value < s_.zones.size())
         all[{FactKind::zone_ladder, s_.zones[zone.value]}] = of_rung(rung, now_);
@@ -82,8 +82,9 @@
       if (rows_.contains(id))
         all[{FactKind::backend_ladder, name_at(id)}] = of_machine(id, of_rung(rung, now_));
     Fact carried;
-    for (std::size_t k = 0; k < m.able.size(); ++k) carried.figures[std::to_string(k)] = m.able[k];
-    if (!m.able.empty()) all[{FactKind::carried, "fleet"}] = carried;
+    for (std::size_t k = 0; k < m.capacity_samples.size(); ++k)
+      carried.figures[std::to_string(k)] = m.capacity_samples[k];
+    if (!m.capacity_samples.empty()) all[{FactKind::carried, "fleet"}] = carried;
   }
   for (const auto& [id, row] : rows_) {
     if (!row.told) continue;
@@ -110,7 +111,7 @@
       all[{FactKind::group_seen, proxy_name(proxy)}].times["seen"] =
           Instant{} + Span::micros(steps * kSeenNews.micros());
     }
-  for (const auto& [proxy, part] : retries_.parts())
+  for (const auto& [proxy, part] : retries_.allocations())
     if (std::abs(part - s_.retry_share) > 1e-9)
       all[{FactKind::further_tries, proxy_name(proxy)}].figures["part"] = part;
   for (const auto& [proxy, version] : sent_)
@@ -151,16 +152,16 @@
   return all;
 }
 
-bool Coordinator::zone_moves() const {
+bool Coordinator::zone_shift_in_progress() const {
   if (person_next_ && !persons_.zones().empty()) return true;
-  if (!decide_.remember) return false;
-  const Memory m = decide_.remember(now_);
+  if (!decide_.export_state) return false;
+  const PolicySnapshot m = decide_.export_state(now_);
   return std::any_of(m.zones.begin(), m.zones.end(),
-                     [](const auto& row) { return row.second.falling || row.second.share < 1; });
+                     [](const auto& row) { return row.second.reducing || row.second.share < 1; });
 }
 
-void Coordinator::absorb(const Recalled& e) {
-  Memory memory;
+void Coordinator::absorb(const FactsReceived& e) {
+  PolicySnapshot memory;
   std::map<std::string, std::uint64_t> sent, held;
   const auto zone_at = [&](const std::string& name) -> std::optional<ZoneId> {
     const auto it = std::find(s_.zones.begin(), s_.zones.end(), name);
@@ -171,11 +172,11 @@
     for (std::size_t k = 0; k < s_.groups.size(); ++k)
       if (s_.groups[k].name == name) return ProxyId{static_cast<std::uint16_t>(k)};
     for (std::size_t k = 0; k < s_.forwarders.size(); ++k)
-      if (s_.forwarders[k].name == name) return ProxyId{static_cast<std::uint16_t>(kFirstForwarder + k)};
+      if (s_.forwarders[k].name == name) return ProxyId{static_cast<std::uint16_t>(kFirstForwarderId + k)};
     return {};
   };
   bool persons = false;
-  own_memory_ = own_memory_ || e.own;
+  own_memory_ = own_memory_ || e.from_previous_run;
   for (const Entry& entry : e.facts) {
     const Fact& f = entry.fact;
     const std::string& name = entry.subject.name;
@@ -208,7 +209,7 @@
         break;
       case FactKind::carried:
         for (const auto& [place, able] : f.figures)
-          if (able > 0) memory.able.push_back(able);
+          if (able > 0) memory.capacity_samples.push_back(able);
         break;
       case FactKind::usual_rate:
         if (const auto proxy = proxy_at(name))
@@ -216,7 +217,7 @@
         break;
       case FactKind::further_tries:
         if (const auto proxy = proxy_at(name); proxy && is_forwarder(*proxy))
-          retries_.recall(*proxy, figure(f, "part", s_.retry_share));
+          retries_.restore(*proxy, figure(f, "part", s_.retry_share));
         break;
       case FactKind::sent_table:
         sent[name] = static_cast<std::uint64_t>(figure(f, "version", 0));
@@ -227,16 +228,18 @@
       case FactKind::person_weight:
         if (const auto until = time_of(f, "until");
             until && ordered && *until > now_ && figure(f, "weight", 0) > 0)
-          persons |= persons_.recall(name, Persons::Weight{figure(f, "weight", 1), *until, *ordered});
+          persons |=
+              persons_.recall(name, OperatorOverrides::Weight{figure(f, "weight", 1), *until, *ordered});
         break;
       case FactKind::person_out:
-        if (ordered) persons |= persons_.recall(name, Persons::Out{figure(f, "out", 0) > 0, *ordered});
+        if (ordered)
+          persons |= persons_.recall(name, OperatorOverrides::Out{figure(f, "out", 0) > 0, *ordered});
         break;
       case FactKind::person_zone:
         if (ordered && zone_at(name))
           persons |= persons_.recall(
-              name,
-              Persons::Zone{figure(f, "down", 0) > 0, std::clamp(figure(f, "from", 1), 0.0, 1.0), *ordered});
+              name, OperatorOverrides::Zone{figure(f, "down", 0) > 0,
+                                            std::clamp(figure(f, "from", 1), 0.0, 1.0), *ordered});
         break;
       case FactKind::hold:
         if (ordered && (!hold_ordered_ || *hold_ordered_ < *ordered))
@@ -246,7 +249,7 @@
         if (const auto proxy = proxy_at(name);
             proxy && !is_forwarder(*proxy) && !led_elsewhere_.contains(*proxy))
           if (const auto when = time_of(f, "seen"); when && now_ - *when < s_.group_idle)
-            absorb(LookedUp{*proxy});
+            absorb(GroupLookup{*proxy});
         break;
       case FactKind::group_table:
       case FactKind::table_lines:
@@ -258,8 +261,9 @@
   for (const auto& [name, version] : sent)
     if (const auto proxy = proxy_at(name))
       half_sent_[*proxy] = !held.contains(name) || held.at(name) != version;
-  if (decide_.recall && (!memory.zones.empty() || !memory.links.empty() || !memory.able.empty()))
-    decide_.recall(now_, memory);
+  if (decide_.import_state &&
+      (!memory.zones.empty() || !memory.links.empty() || !memory.capacity_samples.empty()))
+    decide_.import_state(now_, memory);
   if (persons) person_next_ = persons_.next_change(now_);
   for (const auto& [id, row] : rows_)
     if (persons || past_.contains(row.entry.name)) touched_.insert(id);
@@ -267,7 +271,7 @@
 
 // What was remembered of a name counts for the machine that it was remembered of: its place, and its start
 // where both are known.
-void Coordinator::recall_backend(BackendId id, Row& row, Memory& memory) {
+void Coordinator::recall_backend(BackendId id, Row& row, PolicySnapshot& memory) {
   const auto it = past_.find(row.entry.name);
   if (it == past_.end()) return;
   Past& past = it->second;
@@ -299,7 +303,7 @@
   if (found == found_.end()) return table.lines;
   std::map<BackendId, double> lines;
   for (const auto& [name, weight] : found->second.lines) {
-    const auto id = id_of(name);
+    const auto id = backend_id(name);
     const auto row = id ? rows_.find(*id) : rows_.end();
     if (row == rows_.end() || !row->second.listed) continue;
     if (row->second.told && (!row->second.counts(now_, s_.removal_binds) || !table.lines.contains(*id)))
@@ -327,13 +331,13 @@
 
 // ---- Groups that another controller leads -----------------------------------------------------------------
 
-void Coordinator::absorb(const GroupLed& e) {
-  if (e.group.value >= s_.groups.size() || led_elsewhere_.contains(e.group) != e.here) return;
-  if (e.here) {
+void Coordinator::absorb(const GroupLeadership& e) {
+  if (e.group.value >= s_.groups.size() || led_elsewhere_.contains(e.group) != e.locally_led) return;
+  if (e.locally_led) {
     led_elsewhere_.erase(e.group);
     if (const auto seen = group_seen_.find(e.group);
         seen != group_seen_.end() && now_ - seen->second < s_.group_idle)
-      absorb(LookedUp{e.group});
+      absorb(GroupLookup{e.group});
     return;
   }
   // What it has stays in force till its new leader is heard.
@@ -344,14 +348,14 @@
   channel_.leave(e.group), bound_.erase(e.group);
 }
 
-void Coordinator::absorb(const Followed& e) {
+void Coordinator::absorb(const LeaderTable& e) {
   if (!led_elsewhere_.contains(e.group) || !e.fresh) return;  // not fresh: what stands, stands
   Table table;
   table.made = now_;
   for (const auto& [name, weight] : e.lines)
-    if (const auto id = id_of(name); id && weight > 0) table.lines[*id] = weight;
+    if (const auto id = backend_id(name); id && weight > 0) table.lines[*id] = weight;
   for (const auto& [tries, level] : e.levels)
-    table.levels.push_back({static_cast<FurtherTries>(std::clamp(tries, 0, 3)), std::clamp(level, 0.0, 1.0)});
+    table.levels.push_back({static_cast<RetryPolicy>(std::clamp(tries, 0, 3)), std::clamp(level, 0.0, 1.0)});
   if (table.lines.empty()) return;
   TablePtr& was = followed_[e.group];
   // Said anew, it counts for a backend that started anew, once its leader must have heard of that too.
--- a/src/streams/tables.cpp
+++ b/src/streams/proxy_tables.cpp
@@ -1,4 +1,4 @@
-#include "streams/tables.hpp"
+#include "streams/proxy_tables.hpp"
 
 #include <algorithm>
 #include <set>
@@ -9,7 +9,7 @@
   std::map<TableId, Table> changed;
   std::set<ProxyId> fresh;
   for (const auto& order : orders) {
-    if (const auto* line = std::get_if<SetLine>(&order)) {
+    if (const auto* line = std::get_if<SetWeight>(&order)) {
       auto& lines = tables_[line->table].lines;
       if (line->weight > 0) {
         lines[line->backend] = line->weight;
@@ -17,8 +17,8 @@
         lines.erase(line->backend);
       }
       changed[line->table].lines[line->backend] = line->weight;
-    } else if (const auto* level = std::get_if<SetLevel>(&order)) {
-      const Level value{level->tries, level->level};
+    } else if (const auto* level = std::get_if<SetAdmission>(&order)) {
+      const Level value{level->retries, level->limit};
       tables_[level->table].levels[level->operation] = value;
       changed[level->table].levels[level->operation] = value;
     } else if (const auto* bind = std::get_if<BindProxy>(&order)) {
--- a/src/streams/tables.hpp
+++ b/src/streams/proxy_tables.hpp
@@ -29,7 +29,7 @@
   [[nodiscard]] bool holds(BackendId backend) const;  // in some table
 
   struct Level {
-    FurtherTries tries = FurtherTries::none;
+    RetryPolicy tries = RetryPolicy::none;
     double level = 0;
   };
   struct Table {
--- a/tests/cluster/replication_test.cpp
+++ b/tests/cluster/replication_test.cpp
@@ -7,7 +7,7 @@
 #include <memory>
 #include <random>
 
-#include "cluster/frames.hpp"
+#include "cluster/frame_codec.hpp"
 
 namespace gorsemount::cluster {
 namespace {
@@ -39,7 +39,7 @@
         if (!nodes[k]) continue;
         nodes[k]->observe(local(k), facts[k]);
         for (auto& m : nodes[k]->tick(local(k))) {
-          Frames frames{m.from, 1, {Key{1, {}}}};
+          FrameCodec frames{m.from, 1, {Key{1, {}}}};
           const auto frame = frames.seal(m);
           EXPECT_LE(frame.size(), kFrameMost);
           bytes += frame.size();
--- a/tests/streams/message_test.cpp
+++ b/tests/streams/message_test.cpp
@@ -17,8 +17,8 @@
 
 TEST(Message, ReadsEveryKind) {
   (void)read<Ping>("ping");
-  EXPECT_EQ(read<Collector>("collector az=a").zone, "a");
-  const auto joined = read<Joined>("joined sidecar=17 az=a share=21.5 standing=1");
+  EXPECT_EQ(read<CollectorJoin>("collector az=a").zone, "a");
+  const auto joined = read<ProxyJoin>("joined sidecar=17 az=a share=21.5 standing=1");
   EXPECT_EQ(joined.proxy, 17);
   EXPECT_EQ(joined.usual_rate, 21.5);
   EXPECT_TRUE(joined.standing);
@@ -119,38 +119,38 @@
 TEST(Update, ChangesAreOneLine) {
   const auto w = write_update(update(false, {{"s-1", 1.5}, {"s-2", 0}}, {}));
   EXPECT_EQ(w.bytes, "update endpoints=s-1:1.5,s-2:0\r\n");
-  EXPECT_EQ(w.counts, 2U);
+  EXPECT_EQ(w.line_count, 2U);
 }
 
 TEST(Update, LevelsThatAreAlikeForAllGoWithTheTable) {
-  const auto w = write_update(update(
-      true, {{"s-1", 0.25}}, {{"a", FurtherTries::after_proof, 1e6}, {"b", FurtherTries::after_proof, 1e6}}));
+  const auto w = write_update(
+      update(true, {{"s-1", 0.25}},
+             {{"a", RetryPolicy::if_unprocessed, 1e6}, {"b", RetryPolicy::if_unprocessed, 1e6}}));
   EXPECT_EQ(w.bytes, "update full=1 endpoints=s-1:0.25 admit=1000000 policy=1\r\n");
-  EXPECT_EQ(w.counts, 3U);
+  EXPECT_EQ(w.line_count, 3U);
 }
 
 TEST(Update, LevelsByOperationAreFurtherPartsOfTheSameMessage) {
   const auto w = write_update(
-      update(true, {{"s-1", 1}}, {{"a", FurtherTries::none, 0.5}, {"b", FurtherTries::after_proof, 2}}));
+      update(true, {{"s-1", 1}}, {{"a", RetryPolicy::none, 0.5}, {"b", RetryPolicy::if_unprocessed, 2}}));
   EXPECT_EQ(w.bytes,
             "update full=1 endpoints=s-1:1 continued=1\r\n"
             "update routes=a admit=0.5 policy=0 continued=1\r\n"
             "update routes=b admit=2 policy=1\r\n");
-  EXPECT_EQ(w.counts, 4U);
+  EXPECT_EQ(w.line_count, 4U);
 }
 
 TEST(Update, OneOperationsLevelNamesIt) {
-  EXPECT_EQ(write_update(update(false, {}, {{"b", FurtherTries::one, 0.75}})).bytes,
+  EXPECT_EQ(write_update(update(false, {}, {{"b", RetryPolicy::one, 0.75}})).bytes,
             "update routes=b admit=0.75 policy=2\r\n");
 }
 
 TEST(Update, ASmallWeightIsNotARemovalAndNoFigureHasAnExponent) {
   EXPECT_EQ(write_update(update(false, {{"s", 1e-9}, {"t", 1e-3}}, {})).bytes,
             "update endpoints=s:0.000001,t:0.001\r\n");
-  EXPECT_EQ(
-      write_update(update(false, {}, {{"a", FurtherTries::none, 1e21}, {"b", FurtherTries::none, 1e21}}))
-          .bytes.find('e', 7),
-      std::string::npos);
+  EXPECT_EQ(write_update(update(false, {}, {{"a", RetryPolicy::none, 1e21}, {"b", RetryPolicy::none, 1e21}}))
+                .bytes.find('e', 7),
+            std::string::npos);
 }
 
 }  // namespace
