--- a/src/app/coordinator.cpp
+++ b/src/app/coordinator.cpp
@@ -14,8 +14,8 @@
 #include "discovery/watch.hpp"
 #include "log/log.hpp"
 #include "net/loop.hpp"
-#include "streams/gate.hpp"
-#include "streams/instance.hpp"
+#include "streams/policy_host.hpp"
+#include "streams/stream_server.hpp"
 
 namespace gorsemount::app {
 
@@ -58,18 +58,18 @@
       : config_{std::move(config)},
         log_{"gorsemount", "info", ""},
         instance_{config_.settings, config_.labels, config_.seed, unix_zero()},
-        watch_{
-            loop_,
-            config_.discovery,
-            {},
-            config_.seed,
-            {[this](discovery::Listing list) { take(list); }, [this](const std::string& why) { lost(why); }}},
+        watch_{loop_,
+               config_.discovery,
+               {},
+               config_.seed,
+               {[this](discovery::BackendList list) { take(list); },
+                [this](const std::string& why) { lost(why); }}},
         gate_{loop_, config_.listen, {descriptors_for_peers(config_), kPendingMost}, callbacks()} {
     loop_.on_signal(SIGTERM, [this] { stop("SIGTERM"); });
     loop_.on_signal(SIGINT, [this] { stop("SIGINT"); });
     loop_.on_signal(SIGHUP, [this] { reload(); });
     if (config_.known) {
-      instance_.listed(*config_.known, true);
+      instance_.handle_list(*config_.known, true);
       watch_.resume_from(config_.known->version);
     }
     if (!config_.settings.ask_for_list) watch_.subscribe();
@@ -85,28 +85,30 @@
   void run() { loop_.run(); }
 
  private:
-  streams::Gate::Callbacks callbacks() {
-    return {[this](streams::StreamId id, const streams::Joined& m) {
+  streams::StreamServer::Callbacks callbacks() {
+    return {[this](streams::StreamId id, const streams::ProxyJoin& m) {
               // Every proxy may come to one coordinator; who finds no place is told, and dials another.
-              if (gate_.full() && !instance_.joined(m.proxy))
-                return streams::Instance::JoinResult{"no room", {}};
+              if (gate_.is_full() && !instance_.is_joined(m.proxy))
+                return streams::PolicyHost::JoinResult{"no room", {}};
               schedule();
               return instance_.join(id, m);
             },
-            [this](const streams::Collector& m) { return instance_.zone(m.zone) ? nullptr : "no such zone"; },
+            [this](const streams::CollectorJoin& m) {
+              return instance_.find_zone(m.zone) ? nullptr : "no such zone";
+            },
             [this](std::optional<streams::StreamId> from, const streams::Message& m) {
               schedule();
-              return instance_.report(net::monotonic_now(), from, m);
+              return instance_.handle_report(net::monotonic_now(), from, m);
             },
             [this](streams::StreamId id) {
               schedule();
-              instance_.left(id);
+              instance_.leave(id);
             }};
   }
 
-  void take(const discovery::Listing& list) {
+  void take(const discovery::BackendList& list) {
     list_at_ = loop_.now();
-    if (const std::size_t skipped = instance_.listed(list); skipped > 0)
+    if (const std::size_t skipped = instance_.handle_list(list); skipped > 0)
       log_.event(log::Level::warning, "rows_skipped", {{"zone_unknown", std::to_string(skipped)}});
     schedule();
   }
@@ -116,10 +118,10 @@
                {{"why", why}, {"version", std::to_string(watch_.version())}});
     if (stopping_) return;
     if (config_.settings.ask_for_list) {  // the module says when to ask again
-      instance_.list_failed();
+      instance_.handle_list_failure();
       schedule();
     } else {
-      watch_.subscribe_later();
+      watch_.subscribe_after_delay();
     }
   }
 
@@ -137,14 +139,14 @@
     const Instant decided = net::monotonic_now();
     for (const auto& send : effects.sends) {
       gate_.send(send.stream, send.message->bytes);
-      lines_out_ += send.message->counts;
+      lines_out_ += send.message->line_count;
     }
-    if (effects.follow) watch_.subscribe();
+    if (effects.subscribe) watch_.subscribe();
     longest_decision_ = std::max(longest_decision_, decided - begun);
     longest_step_ = std::max(longest_step_, net::monotonic_now() - begun);
     ++steps_;
     loop_.cancel(wake_);
-    if (const auto when = instance_.wake()) wake_ = loop_.at(*when, [this] { step(); });
+    if (const auto when = instance_.next_wake()) wake_ = loop_.at(*when, [this] { step(); });
   }
 
   void reload() {
@@ -186,30 +188,30 @@
 
   // What it believes, to be set beside what passed on the sockets.
   void log_state() {
-    const auto belief = instance_.believe();
+    const auto belief = instance_.take_stats();
     const auto& counts = gate_.counts();
     log::Fields fields{
-        {"streams", std::to_string(belief.joined)},
-        {"peers", std::to_string(gate_.peers())},
-        {"pending", std::to_string(gate_.pending())},
+        {"streams", std::to_string(belief.joined_proxies)},
+        {"peers", std::to_string(gate_.connection_count())},
+        {"pending", std::to_string(gate_.pending_count())},
         {"version", std::to_string(watch_.version())},
-        {"watch", watch_.following() ? "stands" : "none"},
+        {"watch", watch_.established() ? "stands" : "none"},
         {"list_age_s", list_at_ ? fmt::format("{:.1f}", (loop_.now() - *list_at_).seconds()) : ""},
         {"ready", std::to_string(belief.ready)},
         {"draining", std::to_string(belief.draining)},
-        {"names", std::to_string(belief.names)},
-        {"table_lines", std::to_string(belief.lines)},
+        {"names", std::to_string(belief.known_backends)},
+        {"table_lines", std::to_string(belief.table_entries)},
         {"levels", belief.levels},
-        {"held_back", belief.held_back},
+        {"held_back", belief.reduced},
         {"failing", belief.failing},
-        {"messages_out", std::to_string(counts.messages_out)},
+        {"messages_out", std::to_string(counts.messages_sent)},
         {"lines_out", std::to_string(lines_out_)},
-        {"bytes_out", std::to_string(counts.bytes_out)},
+        {"bytes_out", std::to_string(counts.bytes_sent)},
         {"reports", std::to_string(counts.reports)},
         {"accepted", std::to_string(counts.accepted)},
-        {"joins", std::to_string(counts.streams)},
+        {"joins", std::to_string(counts.joins)},
         {"protocol_errors", std::to_string(counts.protocol_errors)},
-        {"not_reading", std::to_string(counts.not_reading)},
+        {"not_reading", std::to_string(counts.slow_consumers)},
         {"malformed", listed(counts.malformed)},
         {"refused", listed(counts.refusals)},
         {"turns", std::to_string(loop_.turns())},
@@ -219,9 +221,10 @@
     for (const auto& [zone, heard] : belief.zones)
       fields.emplace_back(
           "zone_" + zone,
-          fmt::format("tries {:.0f} errored {:.0f} latency_ms {:.0f} busy {:.2f}", heard.tries, heard.errored,
-                      heard.tries > heard.errored ? 1000 * heard.waited / (heard.tries - heard.errored) : 0,
-                      heard.told > 0 ? heard.busy / heard.told : 0));
+          fmt::format(
+              "tries {:.0f} errored {:.0f} latency_ms {:.0f} busy {:.2f}", heard.tries, heard.errored,
+              heard.tries > heard.errored ? 1000 * heard.latency_seconds / (heard.tries - heard.errored) : 0,
+              heard.cpu_samples > 0 ? heard.cpu_sum / heard.cpu_samples : 0));
     log_.event(log::Level::info, "state", fields);
     longest_step_ = longest_decision_ = {};
   }
@@ -229,9 +232,9 @@
   CoordinatorConfig config_;
   net::Loop loop_;
   log::Log log_;
-  streams::Instance instance_;
+  streams::PolicyHost instance_;
   discovery::Watch watch_;
-  streams::Gate gate_;
+  streams::StreamServer gate_;
   net::Loop::Timer wake_;
   bool scheduled_ = false, stopping_ = false;
   std::optional<Instant> list_at_;
--- a/src/app/coordinator_config.cpp
+++ b/src/app/coordinator_config.cpp
@@ -42,12 +42,12 @@
   c.listen = endpoint(f, "listen", "GW_LISTEN", environment);
   c.discovery = endpoint(f, "discovery", "GW_DISCOVERY", environment);
   c.seed = read_seed(f);
-  if (const auto limits = f.maybe_object("limits"); limits && limits->has("sockets"))
-    c.sockets = limits->whole("sockets", 1U << 20U);
-  if (f.has("known")) c.known = discovery::read_listing(value.at("known"), "config.known");
+  if (const auto limits = f.optional_object("limits"); limits && limits->has("sockets"))
+    c.sockets = limits->unsigned_integer("sockets", 1U << 20U);
+  if (f.has("known")) c.known = discovery::read_backend_list(value.at("known"), "config.known");
   const Fields settings = f.object("settings");
   c.settings = read_settings(settings);
-  c.labels = read_labels(settings);
+  c.labels = read_id_names(settings);
   c.settings_text = value.at("settings").dump();
   return c;
 }
--- a/src/app/coordinator_config.hpp
+++ b/src/app/coordinator_config.hpp
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "core/address.hpp"
-#include "discovery/list.hpp"
+#include "discovery/backend_list.hpp"
 #include "settings_json/settings.hpp"
 
 namespace gorsemount::app {
@@ -17,9 +17,9 @@
   Endpoint listen, discovery;
   std::uint64_t seed = 0;
   std::size_t sockets = 1024;
-  std::optional<discovery::Listing> known;
+  std::optional<discovery::BackendList> known;
   Settings settings;
-  Labels labels;
+  IdNames labels;
   std::string settings_text;  // to tell whether they changed
 };
 
--- a/src/discovery/list.cpp
+++ b/src/discovery/backend_list.cpp
@@ -1,4 +1,4 @@
-#include "discovery/list.hpp"
+#include "discovery/backend_list.hpp"
 
 #include <cmath>
 
@@ -26,9 +26,9 @@
   }
   if (row.health == Health::gone) return row;  // of one that is gone no more is needed
   row.zone = f.text("site");
-  row.weight = f.maybe_number("share").value_or(1);
+  row.weight = f.optional_number("share").value_or(1);
   if (!std::isfinite(row.weight) || row.weight < 0) f.fail("share", "is below 0");
-  const double started = f.maybe_number("born_ms").value_or(0);
+  const double started = f.optional_number("born_ms").value_or(0);
   if (!(started >= 0 && started < 0x1p53)) f.fail("born_ms", "is no Unix time");
   row.started_ms = static_cast<std::int64_t>(started);
   return row;
@@ -36,10 +36,10 @@
 
 }  // namespace
 
-Listing read_listing(const nlohmann::json& value, const std::string& where) {
+BackendList read_backend_list(const nlohmann::json& value, const std::string& where) {
   const Fields f{value, where};
-  Listing listing;
-  listing.version = f.whole("seq", kVersionMost);
+  BackendList listing;
+  listing.version = f.unsigned_integer("seq", kVersionMost);
   listing.whole = f.flag("whole");
   const Json& hosts = f.array("hosts");
   listing.rows.reserve(hosts.size());
@@ -48,6 +48,8 @@
   return listing;
 }
 
-Listing read_listing(std::string_view text) { return read_listing(nlohmann::json::parse(text), "list"); }
+BackendList read_backend_list(std::string_view text) {
+  return read_backend_list(nlohmann::json::parse(text), "list");
+}
 
 }  // namespace gorsemount::discovery
--- a/src/discovery/list.hpp
+++ b/src/discovery/backend_list.hpp
@@ -18,14 +18,14 @@
   std::int64_t started_ms = 0;  // Unix time; 0: long ago
 };
 
-struct Listing {
+struct BackendList {
   std::uint64_t version = 0;
   bool whole = false;  // else only what changed
   std::vector<Row> rows;
 };
 
 // Throw FieldError, or the JSON library's parse error.
-[[nodiscard]] Listing read_listing(const nlohmann::json& value, const std::string& where);
-[[nodiscard]] Listing read_listing(std::string_view text);
+[[nodiscard]] BackendList read_backend_list(const nlohmann::json& value, const std::string& where);
+[[nodiscard]] BackendList read_backend_list(std::string_view text);
 
 }  // namespace gorsemount::discovery
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -51,7 +51,7 @@
   loop_.cancel(quiet_), loop_.cancel(again_);
 }
 
-bool Watch::following() const { return standing_ != nullptr; }
+bool Watch::established() const { return standing_ != nullptr; }
 
 void Watch::subscribe() {
   if (!asking_ && !standing_) start();
@@ -107,7 +107,7 @@
 
 Span Watch::soon() { return timeouts_.again * std::uniform_real_distribution<>{0.5, 1.5}(chance_); }
 
-void Watch::subscribe_later() {
+void Watch::subscribe_after_delay() {
   loop_.cancel(again_);
   again_ = loop_.after(soon(), [this] { subscribe(); });
 }
@@ -177,9 +177,9 @@
     stands(call);
     return true;
   }
-  Listing listing;
+  BackendList listing;
   try {
-    listing = read_listing(text);
+    listing = read_backend_list(text);
   } catch (const std::exception& fault) {
     return resync(std::string{"an answer that can't be read: "} + fault.what());
   }
--- a/src/discovery/watch.hpp
+++ b/src/discovery/watch.hpp
@@ -13,7 +13,7 @@
 #include <string_view>
 
 #include "core/address.hpp"
-#include "discovery/list.hpp"
+#include "discovery/backend_list.hpp"
 #include "net/loop.hpp"
 #include "net/socket.hpp"
 
@@ -35,7 +35,7 @@
   };
   // Called from the loop, never from within a call made here.
   struct Callbacks {
-    std::function<void(Listing)> list;
+    std::function<void(BackendList)> list;
     std::function<void(const std::string& why)> failed;  // nothing is followed any more
   };
 
@@ -45,11 +45,11 @@
   Watch& operator=(const Watch&) = delete;
 
   void resume_from(std::uint64_t version) { version_ = version; }  // changes after it are asked for
-  void subscribe();        // asks, unless a call is under way; with a watch that stands it does nothing
-  void subscribe_later();  // the same soon, at a time by chance
+  void subscribe();              // asks, unless a call is under way; with a watch that stands it does nothing
+  void subscribe_after_delay();  // the same soon, at a time by chance
   void set_endpoint(Endpoint to);
   [[nodiscard]] std::uint64_t version() const { return version_; }
-  [[nodiscard]] bool following() const;
+  [[nodiscard]] bool established() const;
 
  private:
   struct Call;
--- a/src/settings_json/fields.cpp
+++ b/src/settings_json/fields.cpp
@@ -30,11 +30,11 @@
   return value.get<double>();
 }
 
-std::optional<double> Fields::maybe_number(const char* key) const {
+std::optional<double> Fields::optional_number(const char* key) const {
   return find(key) == nullptr ? std::nullopt : std::optional{number(key)};
 }
 
-std::uint64_t Fields::whole(const char* key, std::uint64_t most) const {
+std::uint64_t Fields::unsigned_integer(const char* key, std::uint64_t most) const {
   const Json& value = need(key);
   std::uint64_t result = 0;
   if (value.is_number_unsigned()) {
@@ -56,7 +56,7 @@
   return value.get<bool>();
 }
 
-std::optional<bool> Fields::maybe_flag(const char* key) const {
+std::optional<bool> Fields::optional_flag(const char* key) const {
   return find(key) == nullptr ? std::nullopt : std::optional{flag(key)};
 }
 
@@ -74,7 +74,7 @@
 
 Fields Fields::object(const char* key) const { return Fields{need(key), where_ + "." + key}; }
 
-std::optional<Fields> Fields::maybe_object(const char* key) const {
+std::optional<Fields> Fields::optional_object(const char* key) const {
   return find(key) == nullptr ? std::nullopt : std::optional{object(key)};
 }
 
--- a/src/settings_json/fields.hpp
+++ b/src/settings_json/fields.hpp
@@ -24,15 +24,15 @@
   Fields(const Json& object, std::string where);
 
   [[nodiscard]] double number(const char* key) const;
-  [[nodiscard]] std::optional<double> maybe_number(const char* key) const;
-  [[nodiscard]] std::uint64_t whole(const char* key, std::uint64_t most) const;
-  [[nodiscard]] std::optional<bool> maybe_flag(const char* key) const;
+  [[nodiscard]] std::optional<double> optional_number(const char* key) const;
+  [[nodiscard]] std::uint64_t unsigned_integer(const char* key, std::uint64_t most) const;
+  [[nodiscard]] std::optional<bool> optional_flag(const char* key) const;
   [[nodiscard]] bool flag(const char* key) const;
   [[nodiscard]] std::string text(const char* key) const;
   [[nodiscard]] const Json& array(const char* key) const;
   [[nodiscard]] bool has(const char* key) const { return find(key) != nullptr; }
   [[nodiscard]] Fields object(const char* key) const;
-  [[nodiscard]] std::optional<Fields> maybe_object(const char* key) const;
+  [[nodiscard]] std::optional<Fields> optional_object(const char* key) const;
   [[nodiscard]] Span span(const char* key) const { return Span::seconds(number(key)); }
   [[noreturn]] void fail(const char* key, const std::string& what) const;
 
--- a/src/settings_json/settings.cpp
+++ b/src/settings_json/settings.cpp
@@ -55,39 +55,39 @@
   } else if (kind != "off") {
     family.fail("level-kind", "is not known: " + kind);
   }
-  s.usual_tries = static_cast<FurtherTries>(family.whole("usual-how", 3));
+  s.usual_tries = static_cast<FurtherTries>(family.unsigned_integer("usual-how", 3));
   const auto discovery = config.text("discovery");
   if (discovery != "subscribe" && discovery != "automatic")
     config.fail("discovery", "is not known: " + discovery);
   s.ask_for_list = discovery == "subscribe";
   // What the module can't do must not look as if it were done.
-  if (family.has("ranges") && family.whole("ranges", kCountMost) > 0)
+  if (family.has("ranges") && family.unsigned_integer("ranges", kCountMost) > 0)
     family.fail("ranges", "is above 0: key ranges are not supported");
-  if (family.maybe_flag("one-owner").value_or(false))
+  if (family.optional_flag("one-owner").value_or(false))
     family.fail("one-owner", "is true: owners of key ranges are not supported");
   s.report_every = family.span("report-every-s");
   s.intake = family.number("intake-per-s");
   s.backlog = family.number("backlog");
   s.push_rate = family.number("push-rate");
   s.per_message = family.number("per-message");
-  s.messages_most = static_cast<int>(family.whole("messages-most", kCountMost));
+  s.messages_most = static_cast<int>(family.unsigned_integer("messages-most", kCountMost));
   s.messages_window = family.span("update-window-s");
-  s.proxies = static_cast<double>(family.whole("proxies", kProxiesMost));
+  s.proxies = static_cast<double>(family.unsigned_integer("proxies", kProxiesMost));
   s.coordinators = config.number("fleet-size");
   if (s.coordinators < 1) config.fail("fleet-size", "is below 1");
   s.keepalive = config.object("limits").span("keepalive-s");
   const Fields rules = config.object("rules");
   if (s.ask_for_list) s.ask_within = rules.span("ask-within-s");
   s.drain_grace = rules.span("drain-grace-s");
-  s.removal_binds = !rules.maybe_flag("removal-not-binding").value_or(false);
+  s.removal_binds = !rules.optional_flag("removal-not-binding").value_or(false);
   s.cold_from = rules.number("cold-from");
   s.cold_for = rules.span("cold-s");
   s.tip_multiple = rules.number("tip-multiple");
   return s;
 }
 
-Labels read_labels(const Fields& config) {
-  Labels labels;
+IdNames read_id_names(const Fields& config) {
+  IdNames labels;
   const Json& zones = config.array("zones");
   for (const auto& zone : zones) {
     if (!zone.is_string()) config.fail("zones", "holds what is not a text");
--- a/src/settings_json/settings.hpp
+++ b/src/settings_json/settings.hpp
@@ -11,11 +11,11 @@
 namespace gorsemount {
 
 // Names by place: what the module knows as numbers.
-struct Labels {
+struct IdNames {
   std::vector<std::string> zones, operations;
 };
 
 [[nodiscard]] Settings read_settings(const Fields& config);  // throws FieldError
-[[nodiscard]] Labels read_labels(const Fields& config);      // throws FieldError
+[[nodiscard]] IdNames read_id_names(const Fields& config);   // throws FieldError
 
 }  // namespace gorsemount
--- a/src/simhost/host.cpp
+++ b/src/simhost/host.cpp
@@ -33,12 +33,12 @@
   const Fields fields{item, where + " (" + kind + ")"};
 
   if (kind == "snapshot-rows") {  // one numbered list for the whole process; the newest of a number counts
-    banks_[fields.whole("bank", banks_.size() - 1)] = read_entries(fields);
+    banks_[fields.unsigned_integer("bank", banks_.size() - 1)] = read_entries(fields);
     return;
   }
   if (kind == "provision") {
-    const std::uint64_t id = fields.whole("i", kInstanceMost);
-    const std::uint64_t seed = fields.whole("rng-seed", ~std::uint64_t{0});
+    const std::uint64_t id = fields.unsigned_integer("i", kInstanceMost);
+    const std::uint64_t seed = fields.unsigned_integer("rng-seed", ~std::uint64_t{0});
     Settings settings = read_settings(fields.object("config"));
     Instance fresh;
     try {
@@ -51,18 +51,18 @@
   }
 
   const auto addressed = [&]() -> Instance* {
-    const auto it = instances_.find(fields.whole("i", kInstanceMost));
+    const auto it = instances_.find(fields.unsigned_integer("i", kInstanceMost));
     if (it == instances_.end()) fields.fail("i", "names an instance that does not run");
     return &it->second;
   };
   if (kind == "crash-now") {
     addressed();
-    instances_.erase(fields.whole("i", kInstanceMost));
+    instances_.erase(fields.unsigned_integer("i", kInstanceMost));
   } else if (kind == "registry") {
     Listed listed;
     listed.scope = read_scope(fields);
     if (listed.scope != ListScope::failed) {
-      const auto& bank = banks_[fields.whole("bank", banks_.size() - 1)];
+      const auto& bank = banks_[fields.unsigned_integer("bank", banks_.size() - 1)];
       if (!bank) fields.fail("bank", "names a list that never came");
       listed.entries = *bank;
     }
--- a/src/simhost/wire.cpp
+++ b/src/simhost/wire.cpp
@@ -12,16 +12,20 @@
 constexpr std::uint64_t kTokenMost = std::uint64_t{1} << 63U;
 
 BackendId read_backend(const Fields& f) {
-  return BackendId{static_cast<std::uint32_t>(f.whole("backend", kIdMost))};
+  return BackendId{static_cast<std::uint32_t>(f.unsigned_integer("backend", kIdMost))};
 }
 
 ProxyId read_proxy(const Fields& f) {
-  return ProxyId{static_cast<std::uint16_t>(f.whole("client-lb", kSmallMost))};
+  return ProxyId{static_cast<std::uint16_t>(f.unsigned_integer("client-lb", kSmallMost))};
 }
 
-ZoneId read_zone(const Fields& f) { return ZoneId{static_cast<std::uint16_t>(f.whole("site", kSmallMost))}; }
+ZoneId read_zone(const Fields& f) {
+  return ZoneId{static_cast<std::uint16_t>(f.unsigned_integer("site", kSmallMost))};
+}
 
-int read_count(const Fields& f, const char* key) { return static_cast<int>(f.whole(key, kCountMost)); }
+int read_count(const Fields& f, const char* key) {
+  return static_cast<int>(f.unsigned_integer(key, kCountMost));
+}
 
 }  // namespace
 
@@ -43,7 +47,7 @@
     } else if (availability != "ready") {
       f.fail("availability", "is not known: " + availability);
     }
-    const auto started = f.maybe_number("boot-time-s");
+    const auto started = f.optional_number("boot-time-s");
     if (started && *started != 0) entry.started = Instant::at_seconds(*started);
     entries.push_back(entry);
   }
@@ -60,7 +64,7 @@
 }
 
 std::optional<Event> read_event(const std::string& kind, const Fields& f) {
-  if (kind == "alarm") return TimerFired{TimerTag{f.whole("tag", kTokenMost)}};
+  if (kind == "alarm") return TimerFired{TimerTag{f.unsigned_integer("tag", kTokenMost)}};
   if (kind == "checked-in") return ProxyJoined{read_proxy(f), read_zone(f), f.number("w")};
   if (kind == "disconnected") return ProxyLeft{read_proxy(f)};
   if (kind == "digest") {
@@ -71,13 +75,13 @@
     r.errored = read_count(f, "lost");
     r.mean_latency = f.span("cost-time-s");
     r.over = f.span("elapsed-s");
-    if (const auto load = f.maybe_object("load")) r.busy = load->maybe_number("cpu");
+    if (const auto load = f.optional_object("load")) r.busy = load->optional_number("cpu");
     return r;
   }
   if (kind == "ingress") {
     DemandReport r;
     r.proxy = read_proxy(f);
-    r.operation = OperationId{static_cast<std::uint8_t>(f.whole("service", 255))};
+    r.operation = OperationId{static_cast<std::uint8_t>(f.unsigned_integer("service", 255))};
     r.arrived = read_count(f, "many");
     r.over = f.span("elapsed-s");
     return r;
--- a/src/streams/message.cpp
+++ b/src/streams/message.cpp
@@ -99,10 +99,10 @@
 
 Message read_known(std::string_view kind, const Words& w) {
   if (kind == "ping") return Ping{};
-  if (kind == "collector") return Collector{w.text("az")};
+  if (kind == "collector") return CollectorJoin{w.text("az")};
   if (kind == "joined")
-    return Joined{w.whole<std::uint16_t>("sidecar", 65535), w.text("az"), w.number("share", kCountMost),
-                  w.flag("standing")};
+    return ProxyJoin{w.whole<std::uint16_t>("sidecar", 65535), w.text("az"), w.number("share", kCountMost),
+                     w.flag("standing")};
   if (kind == "heard") {
     Heard m;
     m.zone = w.text("az"), m.host = w.text("host");
@@ -184,11 +184,11 @@
   std::vector<std::string> parts;
   if (update.full || !update.lines.empty()) {
     std::string part = "update";
-    if (update.full) part += " full=1", ++out.counts;
+    if (update.full) part += " full=1", ++out.line_count;
     const char* before = " endpoints=";
     for (const auto& line : update.lines) {
       part += before, part += line.host, part += ':', part += text_of(line.weight);
-      before = ",", ++out.counts;
+      before = ",", ++out.line_count;
     }
     parts.push_back(std::move(part));
   }
@@ -206,7 +206,7 @@
       for (const auto& operation : operations) part += before, part += operation, before = "+";
     }
     part += " admit=" + text_of(level.level) + " policy=" + std::to_string(static_cast<int>(level.tries));
-    parts.push_back(std::move(part)), ++out.counts;
+    parts.push_back(std::move(part)), ++out.line_count;
   }
   for (std::size_t k = 0; k < parts.size() && k < kPartsMost; ++k)
     out.bytes += parts[k] + (k + 1 < parts.size() ? " continued=1\r\n" : "\r\n");
--- a/src/streams/message.hpp
+++ b/src/streams/message.hpp
@@ -1,5 +1,5 @@
 // The platform's line protocol, pure: bytes to messages, tables to `update` lines. Names stay names here: who
-// they belong to, and whether they exist, is Instance's to say.
+// they belong to, and whether they exist, is PolicyHost's to say.
 #pragma once
 
 #include <cstdint>
@@ -18,10 +18,10 @@
 inline constexpr std::size_t kMessageMost = 1U << 20U;
 
 struct Ping {};
-struct Collector {
+struct CollectorJoin {
   std::string zone;
 };
-struct Joined {
+struct ProxyJoin {
   std::uint16_t proxy = 0;
   std::string zone;
   double usual_rate = 0;
@@ -49,7 +49,7 @@
 struct ProtocolError {  // no message at all: the peer is of no further use
   std::string why;
 };
-using Message = std::variant<Ping, Collector, Joined, Heard, Usage, Applied, Malformed, ProtocolError>;
+using Message = std::variant<Ping, CollectorJoin, ProxyJoin, Heard, Usage, Applied, Malformed, ProtocolError>;
 
 // One line, without its end.
 [[nodiscard]] Message read_message(std::string_view line);
@@ -75,8 +75,8 @@
   std::size_t operations = 0;  // how many there are: levels that are alike for all need no names
 };
 struct Written {
-  std::string bytes;       // one message, in parts where it needs some
-  std::size_t counts = 0;  // lines, as the channel counts them, without the message's own
+  std::string bytes;           // one message, in parts where it needs some
+  std::size_t line_count = 0;  // lines, as the channel counts them, without the message's own
 };
 [[nodiscard]] Written write_update(const Update& update);
 
--- a/src/streams/instance.cpp
+++ b/src/streams/policy_host.cpp
@@ -1,4 +1,4 @@
-#include "streams/instance.hpp"
+#include "streams/policy_host.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -14,7 +14,8 @@
 
 }  // namespace
 
-Instance::Instance(Settings settings, Labels labels, std::uint64_t seed, Instant unix_zero, Gather gather)
+PolicyHost::PolicyHost(Settings settings, IdNames labels, std::uint64_t seed, Instant unix_zero,
+                       Gather gather)
     : policy_{settings, seed},
       labels_{std::move(labels)},
       proxies_{settings.proxies},
@@ -24,7 +25,7 @@
       tables_{labels_.operations,
               [this](BackendId id) -> std::string_view { return backends_.at(id).name; }} {}
 
-BackendId Instance::id_of(const std::string& name) {
+BackendId PolicyHost::id_of(const std::string& name) {
   const auto [it, fresh] = ids_.try_emplace(name);
   if (fresh) {
     it->second = BackendId{++last_id_};
@@ -33,19 +34,19 @@
   return it->second;
 }
 
-std::optional<ZoneId> Instance::zone(const std::string& name) const {
+std::optional<ZoneId> PolicyHost::find_zone(const std::string& name) const {
   const auto it = std::find(labels_.zones.begin(), labels_.zones.end(), name);
   if (it == labels_.zones.end()) return {};
   return ZoneId{static_cast<std::uint16_t>(it - labels_.zones.begin())};
 }
 
-void Instance::unlist(BackendId id) {
+void PolicyHost::unlist(BackendId id) {
   Backend& b = backends_.at(id);
   if (!b.unlisted) b.unlisted = now_;
   b.availability = Availability::gone;
 }
 
-std::size_t Instance::listed(const discovery::Listing& listing, bool remembered) {
+std::size_t PolicyHost::handle_list(const discovery::BackendList& listing, bool remembered) {
   Listed event;
   event.scope = remembered ? ListScope::remembered : listing.whole ? ListScope::whole : ListScope::changes;
   std::size_t skipped = 0;
@@ -61,7 +62,7 @@
       event.entries.push_back({known->second, {}, Availability::gone, 1, {}});
       continue;
     }
-    const auto where = zone(row.zone);
+    const auto where = find_zone(row.zone);
     if (!where) {
       ++skipped;
       continue;
@@ -81,8 +82,8 @@
   return skipped;
 }
 
-Instance::JoinResult Instance::join(StreamId stream, const Joined& m) {
-  const auto where = zone(m.zone);
+PolicyHost::JoinResult PolicyHost::join(StreamId stream, const ProxyJoin& m) {
+  const auto where = find_zone(m.zone);
   if (!where) return {"no such zone", {}};
   if (m.proxy >= proxies_) return {"no such proxy", {}};
   if (streams_.contains(stream)) return {"joined already", {}};
@@ -90,14 +91,14 @@
   const ProxyId proxy{m.proxy};
   if (const auto before = proxies_on_.find(proxy); before != proxies_on_.end()) {
     result.succeeds = before->second;
-    left(before->second);
+    leave(before->second);
   }
   streams_[stream] = proxy, proxies_on_[proxy] = stream;
   pending_.emplace_back(ProxyJoined{proxy, *where, m.usual_rate});
   return result;
 }
 
-void Instance::left(StreamId stream) {
+void PolicyHost::leave(StreamId stream) {
   const auto it = streams_.find(stream);
   if (it == streams_.end()) return;  // one that another has succeeded
   const ProxyId proxy = it->second;
@@ -107,24 +108,24 @@
   pending_.emplace_back(ProxyLeft{proxy});
 }
 
-void Instance::gather(Instant now, Event report) {
+void PolicyHost::gather(Instant now, Event report) {
   if (reports_.empty()) first_report_ = now;
   last_report_ = now;
   reports_.push_back(std::move(report));
 }
 
-std::optional<Instant> Instance::ripe() const {
+std::optional<Instant> PolicyHost::ripe() const {
   if (reports_.empty()) return {};
   return std::min(last_report_ + gather_.quiet, first_report_ + gather_.most);
 }
 
-const char* Instance::report(Instant now, std::optional<StreamId> from, const Message& message) {
+const char* PolicyHost::handle_report(Instant now, std::optional<StreamId> from, const Message& message) {
   const auto stands_for = [&](std::uint16_t proxy) -> const char* {
     if (from) return streams_.at(*from).value == proxy ? nullptr : "another proxy's";
     return proxies_on_.contains(ProxyId{proxy}) ? nullptr : "of a proxy that has not joined";
   };
   if (const auto* heard = std::get_if<Heard>(&message)) {
-    const auto where = zone(heard->zone);
+    const auto where = find_zone(heard->zone);
     if (!where) return "no such zone";
     if (from) return "not a stream's to tell";
     const auto id = ids_.find(heard->host);
@@ -133,8 +134,8 @@
                               heard->over, heard->busy});
     auto& zone = heard_[backends_.at(id->second).zone];
     zone.tries += heard->tries, zone.errored += heard->errored;
-    zone.waited += (heard->tries - heard->errored) * heard->mean_latency.seconds();
-    if (heard->busy) zone.busy += *heard->busy, ++zone.told;
+    zone.latency_seconds += (heard->tries - heard->errored) * heard->mean_latency.seconds();
+    if (heard->busy) zone.cpu_sum += *heard->busy, ++zone.cpu_samples;
     if (heard->errored > 0 || errored_.contains(id->second))
       errored_[id->second].first += heard->errored, errored_[id->second].second += heard->tries;
     return nullptr;
@@ -154,7 +155,7 @@
   return "not known here";
 }
 
-Instance::Effects Instance::step(Instant now) {
+PolicyHost::Effects PolicyHost::step(Instant now) {
   now_ = now;
   for (auto it = timers_.begin(); it != timers_.end() && it->first <= now; it = timers_.erase(it))
     pending_.emplace_back(TimerFired{it->second});
@@ -167,7 +168,7 @@
   const auto events = std::exchange(pending_, {});
   const auto orders = policy_.handle(now, events);
   for (const auto& order : orders) {
-    if (std::holds_alternative<FollowList>(order)) effects.follow = true;
+    if (std::holds_alternative<FollowList>(order)) effects.subscribe = true;
     if (const auto* wake = std::get_if<WakeMe>(&order)) timers_.emplace(now + wake->after, wake->tag);
   }
   for (auto& sent : tables_.carry_out(orders))
@@ -176,7 +177,7 @@
   return effects;
 }
 
-std::optional<Instant> Instance::wake() const {
+std::optional<Instant> PolicyHost::next_wake() const {
   const auto when = ripe();
   if (timers_.empty()) return when;
   return when ? std::min(*when, timers_.begin()->first) : timers_.begin()->first;
@@ -184,7 +185,7 @@
 
 // Names grow by lists alone. Where the loss from a list does not bind, the module may come back to a backend
 // that it has in no table at the time, and its name must stand.
-void Instance::forget() {
+void PolicyHost::forget() {
   if (!forgets_) return;
   for (auto it = backends_.begin(); it != backends_.end();) {
     const bool old =
@@ -194,10 +195,10 @@
   }
 }
 
-Instance::Belief Instance::believe() {
-  Belief b;
+PolicyHost::Stats PolicyHost::take_stats() {
+  Stats b;
   for (const auto& [zone, heard] : std::exchange(heard_, {})) b.zones[labels_.zones.at(zone.value)] = heard;
-  b.joined = streams_.size(), b.names = backends_.size();
+  b.joined_proxies = streams_.size(), b.known_backends = backends_.size();
   for (const auto& [id, backend] : backends_) {
     b.ready += backend.availability == Availability::ready ? 1 : 0;
     b.draining += backend.availability == Availability::draining ? 1 : 0;
@@ -211,18 +212,18 @@
   };
   const auto name = [this](ZoneId zone) { return labels_.zones.at(zone.value); };
   const Memory memory = policy_.remember(now_);
-  for (const auto& [zone, rung] : memory.zones) append(b.held_back, name(zone) + share(rung));
+  for (const auto& [zone, rung] : memory.zones) append(b.reduced, name(zone) + share(rung));
   for (const auto& [link, rung] : memory.links)
-    append(b.held_back, name(link.first) + ">" + name(link.second) + share(rung));
+    append(b.reduced, name(link.first) + ">" + name(link.second) + share(rung));
   for (const auto& [id, rung] : memory.backends)
     if (const auto it = backends_.find(id); it != backends_.end())
-      append(b.held_back, it->second.name + share(rung));
+      append(b.reduced, it->second.name + share(rung));
   for (const auto& [id, counts] : std::exchange(errored_, {}))
     if (const auto it = backends_.find(id); it != backends_.end())
       append(b.failing,
              it->second.name + ":" + std::to_string(counts.first) + "/" + std::to_string(counts.second));
   for (const auto& [number, table] : tables_.all()) {
-    b.lines += table.lines.size();
+    b.table_entries += table.lines.size();
     if (!b.levels.empty()) continue;
     for (const auto& [operation, level] : table.levels)
       b.levels += (b.levels.empty() ? "" : " ") + labels_.operations.at(operation.value) + ":" +
--- a/src/streams/instance.hpp
+++ b/src/streams/policy_host.hpp
@@ -8,17 +8,17 @@
 #include <string>
 #include <vector>
 
-#include "discovery/list.hpp"
+#include "discovery/backend_list.hpp"
 #include "policy/policy.hpp"
 #include "settings_json/settings.hpp"
 #include "streams/message.hpp"
-#include "streams/tables.hpp"
+#include "streams/proxy_tables.hpp"
 
 namespace gorsemount::streams {
 
 using StreamId = std::uint64_t;
 
-class Instance {
+class PolicyHost {
  public:
   struct Send {
     StreamId stream = 0;
@@ -26,7 +26,7 @@
   };
   struct Effects {
     std::vector<Send> sends;
-    bool follow = false;  // discovery is to be asked for changes
+    bool subscribe = false;  // discovery is to be asked for changes
   };
   struct JoinResult {
     const char* refused = nullptr;     // why; null: it has joined
@@ -41,36 +41,36 @@
   };
 
   // `unix_zero`: where Unix time 0 lies on the clock that step() is handed.
-  Instance(Settings settings, Labels labels, std::uint64_t seed, Instant unix_zero, Gather gather);
-  Instance(Settings settings, Labels labels, std::uint64_t seed, Instant unix_zero)
-      : Instance{std::move(settings), std::move(labels), seed, unix_zero, Gather{}} {}
+  PolicyHost(Settings settings, IdNames labels, std::uint64_t seed, Instant unix_zero, Gather gather);
+  PolicyHost(Settings settings, IdNames labels, std::uint64_t seed, Instant unix_zero)
+      : PolicyHost{std::move(settings), std::move(labels), seed, unix_zero, Gather{}} {}
 
   // Returns how many rows could not be used, since their zone does not exist.
-  std::size_t listed(const discovery::Listing& listing, bool remembered = false);
-  void list_failed() { pending_.emplace_back(Listed{ListScope::failed, {}}); }
-  [[nodiscard]] JoinResult join(StreamId stream, const Joined& message);
-  void left(StreamId stream);
-  [[nodiscard]] bool joined(std::uint16_t proxy) const { return proxies_on_.contains(ProxyId{proxy}); }
-  [[nodiscard]] std::optional<ZoneId> zone(const std::string& name) const;
+  std::size_t handle_list(const discovery::BackendList& listing, bool remembered = false);
+  void handle_list_failure() { pending_.emplace_back(Listed{ListScope::failed, {}}); }
+  [[nodiscard]] JoinResult join(StreamId stream, const ProxyJoin& message);
+  void leave(StreamId stream);
+  [[nodiscard]] bool is_joined(std::uint16_t proxy) const { return proxies_on_.contains(ProxyId{proxy}); }
+  [[nodiscard]] std::optional<ZoneId> find_zone(const std::string& name) const;
   // What a stream (or, without one, a collector) reports. Returns why it is skipped; null: it was taken.
-  [[nodiscard]] const char* report(Instant now, std::optional<StreamId> from, const Message& message);
+  [[nodiscard]] const char* handle_report(Instant now, std::optional<StreamId> from, const Message& message);
 
   [[nodiscard]] Effects step(Instant now);
-  [[nodiscard]] std::optional<Instant> wake() const;
+  [[nodiscard]] std::optional<Instant> next_wake() const;
   [[nodiscard]] bool pending() const { return !pending_.empty() || !reports_.empty(); }
 
   // What was heard since the last call, by the backends' zone, and what is in force.
-  struct Belief {
+  struct Stats {
     struct Zone {
-      double tries = 0, errored = 0, waited = 0, busy = 0, told = 0;
+      double tries = 0, errored = 0, latency_seconds = 0, cpu_sum = 0, cpu_samples = 0;
     };
     std::map<std::string, Zone> zones;
-    std::size_t joined = 0, ready = 0, draining = 0, names = 0, lines = 0;
+    std::size_t joined_proxies = 0, ready = 0, draining = 0, known_backends = 0, table_entries = 0;
     std::string levels;
-    std::string held_back;  // zones, backends and links whose ladder is not whole, with their share
-    std::string failing;    // backends that errored: how many of how many tries
+    std::string reduced;  // zones, backends and links whose ladder is not whole, with their share
+    std::string failing;  // backends that errored: how many of how many tries
   };
-  [[nodiscard]] Belief believe();
+  [[nodiscard]] Stats take_stats();
 
  private:
   struct Backend {
@@ -86,7 +86,7 @@
   [[nodiscard]] std::optional<Instant> ripe() const;  // when the reports at hand are handed on
 
   Policy policy_;
-  Labels labels_;
+  IdNames labels_;
   double proxies_;
   bool forgets_;
   Instant unix_zero_, now_;
@@ -100,7 +100,7 @@
   std::multimap<Instant, TimerTag> timers_;
   std::vector<Event> pending_, reports_;
   Instant first_report_, last_report_;
-  std::map<ZoneId, Belief::Zone> heard_;
+  std::map<ZoneId, Stats::Zone> heard_;
   std::map<BackendId, std::pair<int, int>> errored_;  // of tries
 };
 
--- a/src/streams/tables.cpp
+++ b/src/streams/proxy_tables.cpp
@@ -1,4 +1,4 @@
-#include "streams/tables.hpp"
+#include "streams/proxy_tables.hpp"
 
 #include <algorithm>
 #include <set>
--- a/src/streams/gate.cpp
+++ b/src/streams/stream_server.cpp
@@ -1,4 +1,4 @@
-#include "streams/gate.hpp"
+#include "streams/stream_server.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -20,24 +20,24 @@
 
 }  // namespace
 
-Gate::Gate(net::Loop& loop, const Endpoint& at, Limits limits, Callbacks callbacks)
+StreamServer::StreamServer(net::Loop& loop, const Endpoint& at, Limits limits, Callbacks callbacks)
     : loop_{loop}, limits_{limits}, callbacks_{std::move(callbacks)} {
   listener_ = std::make_unique<net::Listener>(loop_, at,
                                               [this](net::Fd fd, const Endpoint&) { accept(std::move(fd)); });
 }
 
-Gate::~Gate() {
+StreamServer::~StreamServer() {
   listener_.reset();
   loop_.cancel(end_);
   for (auto& [id, peer] : peers_) loop_.cancel(peer.deadline);
 }
 
-std::size_t Gate::room() const {
+std::size_t StreamServer::room() const {
   const std::size_t left = limits_.peers > joined() ? limits_.peers - joined() : 0;
   return std::clamp(left, kPendingLeast, std::max(limits_.pending, kPendingLeast));
 }
 
-void Gate::shut_down(Span within, std::function<void()> done) {
+void StreamServer::shut_down(Span within, std::function<void()> done) {
   if (std::exchange(shutting_down_, true)) return;
   done_ = std::move(done);
   end_ = loop_.after(within, [this] {
@@ -52,14 +52,14 @@
   if (peers_.empty()) finish();
 }
 
-void Gate::finish() {
+void StreamServer::finish() {
   loop_.cancel(end_);
   if (const auto done = std::exchange(done_, {})) done();
 }
 
 // Reads what has come, since a close with input unread is a reset that eats what was written; then ends its
 // own side.
-void Gate::close_peer(StreamId id) {
+void StreamServer::close_peer(StreamId id) {
   const auto find = [&] { return peers_.find(id); };
   auto it = find();
   if (it == peers_.end()) return;
@@ -73,7 +73,7 @@
   connection->half_close();
 }
 
-void Gate::accept(net::Fd fd) {
+void StreamServer::accept(net::Fd fd) {
   make_room();
   ++counts_.accepted;
   const StreamId id = ++last_;
@@ -92,7 +92,7 @@
   connection->read_now();
 }
 
-void Gate::make_room() {
+void StreamServer::make_room() {
   while (pending_.size() >= room()) {
     const auto first = [&](auto&& is) { return std::find_if(pending_.begin(), pending_.end(), is); };
     auto it = first([&](StreamId id) { return peers_.at(id).role == Role::closing; });
@@ -107,7 +107,7 @@
   }
 }
 
-std::size_t Gate::data(StreamId id, std::string_view bytes) {
+std::size_t StreamServer::data(StreamId id, std::string_view bytes) {
   const auto it = peers_.find(id);
   if (it == peers_.end()) return bytes.size();
   Peer& peer = it->second;
@@ -131,7 +131,7 @@
   return end + 1;
 }
 
-void Gate::message(StreamId id, Peer& peer, const Message& m) {
+void StreamServer::message(StreamId id, Peer& peer, const Message& m) {
   const bool pending = peer.role == Role::pending;
   if (std::holds_alternative<Ping>(m)) {
     ++counts_.pings;
@@ -142,16 +142,16 @@
     return pending ? refuse(id, bad->why.c_str()) : protocol_error(id, bad->why.c_str());
   if (const auto* bad = std::get_if<Malformed>(&m))
     return pending ? refuse(id, "a message that lacks what it must have") : malformed(bad->kind, bad->field);
-  if (const auto* joined = std::get_if<Joined>(&m)) {
+  if (const auto* joined = std::get_if<ProxyJoin>(&m)) {
     if (!pending) return malformed("joined", "joined already");
     if (shutting_down_) return refuse(id, "shutting down");
     const auto result = callbacks_.joined(id, *joined);
     if (result.refused != nullptr) return refuse(id, result.refused);
     if (result.succeeds) end(*result.succeeds);
-    ++counts_.streams;
+    ++counts_.joins;
     return settled(id, peer, Role::stream);
   }
-  if (const auto* collector = std::get_if<Collector>(&m)) {
+  if (const auto* collector = std::get_if<CollectorJoin>(&m)) {
     if (!pending) return malformed("collector", "joined already");
     if (shutting_down_) return refuse(id, "shutting down");
     if (const char* why = callbacks_.collector(*collector)) return refuse(id, why);
@@ -168,7 +168,7 @@
   if (const char* why = callbacks_.report(from, m)) malformed("report", why);
 }
 
-void Gate::settled(StreamId id, Peer& peer, Role role) {
+void StreamServer::settled(StreamId id, Peer& peer, Role role) {
   peer.role = role;
   pending_.erase(id);
   loop_.cancel(peer.deadline);
@@ -176,7 +176,7 @@
 }
 
 // Says why and goes: what still comes is read for a moment, so that a reset does not eat the answer.
-void Gate::refuse(StreamId id, const char* why) {
+void StreamServer::refuse(StreamId id, const char* why) {
   const auto it = peers_.find(id);
   if (it == peers_.end() || it->second.role != Role::pending) return;
   count(counts_.refusals, why), ++counts_.refused;
@@ -189,7 +189,7 @@
   connection->half_close();
 }
 
-void Gate::protocol_error(StreamId id, const char* why) {
+void StreamServer::protocol_error(StreamId id, const char* why) {
   ++counts_.protocol_errors;
   count(counts_.malformed, std::string{"protocol error: "} + why);
   const bool stream = peers_.at(id).role == Role::stream;
@@ -197,20 +197,20 @@
   if (stream) callbacks_.left(id);
 }
 
-void Gate::malformed(const std::string& kind, const std::string& why) {
+void StreamServer::malformed(const std::string& kind, const std::string& why) {
   count(counts_.malformed, kind + ": " + why);
 }
 
-void Gate::closed(StreamId id, const char* why) {
+void StreamServer::closed(StreamId id, const char* why) {
   const auto it = peers_.find(id);
   if (it == peers_.end()) return;
   const bool stream = it->second.role == Role::stream;
-  if (std::string_view{why} == "not reading") ++counts_.not_reading;
+  if (std::string_view{why} == "not reading") ++counts_.slow_consumers;
   drop(id);
   if (stream) callbacks_.left(id);
 }
 
-void Gate::drop(StreamId id) {
+void StreamServer::drop(StreamId id) {
   const auto it = peers_.find(id);
   if (it == peers_.end()) return;
   loop_.cancel(it->second.deadline);
@@ -222,14 +222,14 @@
   if (shutting_down_ && peers_.empty()) finish();
 }
 
-void Gate::send(StreamId stream, std::string_view bytes) {
+void StreamServer::send(StreamId stream, std::string_view bytes) {
   const auto it = peers_.find(stream);
   if (it == peers_.end()) return;
-  ++counts_.messages_out, counts_.bytes_out += bytes.size();
+  ++counts_.messages_sent, counts_.bytes_sent += bytes.size();
   const auto connection = it->second.connection;
   connection->send(bytes);
 }
 
-void Gate::end(StreamId stream) { drop(stream); }
+void StreamServer::end(StreamId stream) { drop(stream); }
 
 }  // namespace gorsemount::streams
--- a/src/streams/gate.hpp
+++ b/src/streams/stream_server.hpp
@@ -12,12 +12,12 @@
 
 #include "net/loop.hpp"
 #include "net/socket.hpp"
-#include "streams/instance.hpp"
 #include "streams/message.hpp"
+#include "streams/policy_host.hpp"
 
 namespace gorsemount::streams {
 
-class Gate {
+class StreamServer {
  public:
   struct Limits {
     std::size_t peers = 1024;                // connections of all kinds: what the descriptors allow
@@ -28,34 +28,35 @@
   };
   // Who says what a message is worth. Null: it was taken; else why it is refused or skipped.
   struct Callbacks {
-    std::function<Instance::JoinResult(StreamId, const Joined&)> joined;
-    std::function<const char*(const Collector&)> collector;
+    std::function<PolicyHost::JoinResult(StreamId, const ProxyJoin&)> joined;
+    std::function<const char*(const CollectorJoin&)> collector;
     std::function<const char*(std::optional<StreamId>, const Message&)> report;
     std::function<void(StreamId)> left;
   };
   struct Counts {
-    std::uint64_t accepted = 0, refused = 0, streams = 0, protocol_errors = 0, not_reading = 0, pings = 0;
-    std::uint64_t reports = 0, bytes_out = 0, messages_out = 0;
+    std::uint64_t accepted = 0, refused = 0, joins = 0, protocol_errors = 0, slow_consumers = 0, pings = 0;
+    std::uint64_t reports = 0, bytes_sent = 0, messages_sent = 0;
     std::map<std::string, std::uint64_t> malformed;  // by kind and reason
     std::map<std::string, std::uint64_t> refusals;   // by reason
   };
 
-  Gate(net::Loop& loop, const Endpoint& at, Limits limits, Callbacks callbacks);  // throws std::system_error
-  ~Gate();
-  Gate(const Gate&) = delete;
-  Gate& operator=(const Gate&) = delete;
+  StreamServer(net::Loop& loop, const Endpoint& at, Limits limits,
+               Callbacks callbacks);  // throws std::system_error
+  ~StreamServer();
+  StreamServer(const StreamServer&) = delete;
+  StreamServer& operator=(const StreamServer&) = delete;
 
   // Ends in order: takes no more connections, answers what has come, refuses whoever has not joined, writes
   // what waits, and closes each side when its peer has, or when `within` is over. Then calls `done`, once.
   void shut_down(Span within, std::function<void()> done);
   // One more join would take the last places, which are for pending connections and for successors.
-  [[nodiscard]] bool full() const { return joined() + kPendingLeast >= limits_.peers; }
+  [[nodiscard]] bool is_full() const { return joined() + kPendingLeast >= limits_.peers; }
 
   void send(StreamId stream, std::string_view bytes);
   void end(StreamId stream);  // another has succeeded it; the callbacks is not told
   [[nodiscard]] const Counts& counts() const { return counts_; }
-  [[nodiscard]] std::size_t pending() const { return pending_.size(); }
-  [[nodiscard]] std::size_t peers() const { return peers_.size(); }
+  [[nodiscard]] std::size_t pending_count() const { return pending_.size(); }
+  [[nodiscard]] std::size_t connection_count() const { return peers_.size(); }
 
  private:
   static constexpr std::size_t kPendingLeast = 8;
--- a/tests/discovery/watch_test.cpp
+++ b/tests/discovery/watch_test.cpp
@@ -22,19 +22,19 @@
 
 TEST(List, ReadsRowsAndNamesWhatIsWrong) {
   const auto l =
-      read_listing(list(41, true, entry("s-1", "Terminating", "1700000000123") + "," + entry("s-2")));
+      read_backend_list(list(41, true, entry("s-1", "Terminating", "1700000000123") + "," + entry("s-2")));
   EXPECT_EQ(l.version, 41U);
   ASSERT_EQ(l.rows.size(), 2U);
   EXPECT_EQ(l.rows[0].health, Health::draining);
   EXPECT_EQ(l.rows[0].started_ms, 1700000000123);
   EXPECT_EQ(l.rows[1].weight, 1.5);
   EXPECT_EQ(
-      read_listing(R"({"seq":1,"whole":false,"hosts":[{"host":"s-9","health":"Gone"}]})").rows[0].health,
+      read_backend_list(R"({"seq":1,"whole":false,"hosts":[{"host":"s-9","health":"Gone"}]})").rows[0].health,
       Health::gone);
   for (const char* bad : {"", "{", "[]", R"({"seq":1,"whole":true})", R"({"seq":-1,"whole":true,"hosts":[]})",
                           R"({"seq":1,"whole":true,"hosts":[{"host":"a b","health":"Ready","site":"a"}]})",
                           R"({"seq":1,"whole":true,"hosts":[{"host":"a","health":"Odd","site":"a"}]})"})
-    EXPECT_THROW((void)read_listing(std::string_view{bad}), std::exception) << bad;
+    EXPECT_THROW((void)read_backend_list(std::string_view{bad}), std::exception) << bad;
 }
 
 const Endpoint kAt = *Endpoint::parse("127.7.7.9:17020"), kElsewhere = *Endpoint::parse("127.7.7.9:17021");
@@ -77,7 +77,7 @@
   Rig() {
     watch = std::make_unique<Watch>(
         loop, kAt, timeouts(), 7,
-        Watch::Callbacks{[this](Listing l) { lists.push_back(std::move(l)); },
+        Watch::Callbacks{[this](BackendList l) { lists.push_back(std::move(l)); },
                          [this](const std::string& why) { failures.push_back(why); }});
   }
   void run(double s) {
@@ -85,7 +85,7 @@
     loop.run();
   }
   net::Loop loop;
-  std::vector<Listing> lists;
+  std::vector<BackendList> lists;
   std::vector<std::string> failures;
   std::unique_ptr<Watch> watch;
 };
@@ -103,7 +103,7 @@
   r.run(0.1);
   EXPECT_EQ(s.asked, "GET /api/targets?watch=1&from=41 HTTP/1.1");
   ASSERT_EQ(r.lists.size(), 1U);
-  EXPECT_TRUE(r.watch->following());
+  EXPECT_TRUE(r.watch->established());
   s.connection->send(Service::chunk(list(44, false, entry("s-2", "Gone")).substr(9) + "\n") +
                      Service::chunk("\r\n"));
   r.run(0.1);
@@ -122,15 +122,15 @@
     r.run(0.2);
     s.connection->send(Service::chunk("\n"));
   }
-  EXPECT_TRUE(r.watch->following());
+  EXPECT_TRUE(r.watch->established());
   EXPECT_EQ(s.calls, 1);
   const auto old = s.connection;
   s.answer = nullptr;  // it takes calls and says nothing
   r.run(0.4);          // a silence and some: another is asked for beside it
   EXPECT_EQ(s.calls, 2);
-  EXPECT_TRUE(r.watch->following());
+  EXPECT_TRUE(r.watch->established());
   r.run(1.2);
-  EXPECT_FALSE(r.watch->following());
+  EXPECT_FALSE(r.watch->established());
   EXPECT_EQ(r.failures, std::vector<std::string>{"silent"});
 }
 
@@ -145,10 +145,10 @@
   const auto old = s.connection;
   s.listener.reset();
   r.run(0.5);
-  EXPECT_TRUE(r.watch->following());
+  EXPECT_TRUE(r.watch->established());
   EXPECT_TRUE(r.failures.empty());
   r.run(0.25);
-  EXPECT_FALSE(r.watch->following());
+  EXPECT_FALSE(r.watch->established());
   EXPECT_EQ(r.failures, std::vector<std::string>{"silent"});
 }
 
@@ -169,7 +169,7 @@
   r.run(0.05);
   EXPECT_EQ(r.lists.size(), 3U);
   EXPECT_EQ(s.ends, 1);  // the old one's, once the new one has answered
-  EXPECT_TRUE(r.watch->following());
+  EXPECT_TRUE(r.watch->established());
   EXPECT_TRUE(r.failures.empty());
 }
 
@@ -180,7 +180,7 @@
   r.watch->resume_from(41);
   r.watch->subscribe();
   r.run(0.05);
-  EXPECT_TRUE(r.watch->following());
+  EXPECT_TRUE(r.watch->established());
   for (int k = 0; k < 4; ++k) {
     r.run(0.2);
     s.connection->send(Service::chunk("\r\n"));
@@ -286,7 +286,7 @@
     for (; cut <= text.size() && !HasFailure(); cut += reset ? 7 : 1) {
       r.watch = std::make_unique<Watch>(
           r.loop, kAt, timeouts(), 7,
-          Watch::Callbacks{[&](Listing l) { r.lists.push_back(std::move(l)); },
+          Watch::Callbacks{[&](BackendList l) { r.lists.push_back(std::move(l)); },
                            [&](const std::string& why) { r.failures.push_back(why), r.loop.stop(); }});
       r.lists.clear(), r.failures.clear();
       resync = false;
@@ -311,7 +311,7 @@
   r.watch->set_endpoint(kElsewhere);  // in one turn: there and back
   r.watch->set_endpoint(kAt);
   r.run(0.1);
-  EXPECT_TRUE(r.watch->following());
+  EXPECT_TRUE(r.watch->established());
   EXPECT_EQ(first.calls, 1);
   EXPECT_EQ(r.lists.size(), 1U);
   r.watch->set_endpoint(kElsewhere);
@@ -337,7 +337,7 @@
   EXPECT_TRUE(r.failures.empty());  // one call is under way
   r.run(0.4);
   EXPECT_EQ(r.failures, std::vector<std::string>{"no answer in time"});
-  EXPECT_FALSE(r.watch->following());
+  EXPECT_FALSE(r.watch->established());
 }
 
 TEST(Watch, RedialsAreSpreadByTheSeedWithinBounds) {
@@ -355,7 +355,7 @@
       c.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
       if (calls.size() == 6) loop.stop();
     };
-    Watch watch{loop, kAt, timeouts(), seed, Watch::Callbacks{[](Listing) {}, [](const std::string&) {}}};
+    Watch watch{loop, kAt, timeouts(), seed, Watch::Callbacks{[](BackendList) {}, [](const std::string&) {}}};
     watch.subscribe();
     loop.after(Span::seconds(0.05), [&] { watch.set_endpoint(kElsewhere); });
     loop.after(Span::seconds(5), [&] { loop.stop(); });
@@ -415,7 +415,7 @@
                                              "GET /api/targets?watch=1&from=9 HTTP/1.1"}));
   ASSERT_EQ(r.lists.size(), 2U);
   EXPECT_TRUE(r.lists[0].whole);
-  EXPECT_TRUE(r.watch->following());
+  EXPECT_TRUE(r.watch->established());
 }
 
 TEST(Watch, ChangesToAnOlderListAreNotTaken) {
@@ -444,7 +444,7 @@
   old.connection->send(Service::chunk(list(2, false, entry("s-2")) + "\n"));
   r.run(0.1);
   ASSERT_EQ(r.lists.size(), 2U);
-  EXPECT_TRUE(r.watch->following());
+  EXPECT_TRUE(r.watch->established());
   Service fresh{r.loop, kElsewhere};
   fresh.answer = [](net::Connection& c) {
     c.send(Service::head() + Service::chunk(list(3, false, entry("s-3")) + "\n"));
--- a/tests/streams/message_test.cpp
+++ b/tests/streams/message_test.cpp
@@ -17,8 +17,8 @@
 
 TEST(Message, ReadsEveryKind) {
   (void)read<Ping>("ping");
-  EXPECT_EQ(read<Collector>("collector az=a").zone, "a");
-  const auto joined = read<Joined>("joined sidecar=17 az=a share=21.5 standing=1");
+  EXPECT_EQ(read<CollectorJoin>("collector az=a").zone, "a");
+  const auto joined = read<ProxyJoin>("joined sidecar=17 az=a share=21.5 standing=1");
   EXPECT_EQ(joined.proxy, 17);
   EXPECT_EQ(joined.usual_rate, 21.5);
   EXPECT_TRUE(joined.standing);
@@ -119,14 +119,14 @@
 TEST(Update, ChangesAreOneLine) {
   const auto w = write_update(update(false, {{"s-1", 1.5}, {"s-2", 0}}, {}));
   EXPECT_EQ(w.bytes, "update endpoints=s-1:1.5,s-2:0\r\n");
-  EXPECT_EQ(w.counts, 2U);
+  EXPECT_EQ(w.line_count, 2U);
 }
 
 TEST(Update, LevelsThatAreAlikeForAllGoWithTheTable) {
   const auto w = write_update(update(
       true, {{"s-1", 0.25}}, {{"a", FurtherTries::after_proof, 1e6}, {"b", FurtherTries::after_proof, 1e6}}));
   EXPECT_EQ(w.bytes, "update full=1 endpoints=s-1:0.25 admit=1000000 policy=1\r\n");
-  EXPECT_EQ(w.counts, 3U);
+  EXPECT_EQ(w.line_count, 3U);
 }
 
 TEST(Update, LevelsByOperationAreFurtherPartsOfTheSameMessage) {
@@ -136,7 +136,7 @@
             "update full=1 endpoints=s-1:1 continued=1\r\n"
             "update routes=a admit=0.5 policy=0 continued=1\r\n"
             "update routes=b admit=2 policy=1\r\n");
-  EXPECT_EQ(w.counts, 4U);
+  EXPECT_EQ(w.line_count, 4U);
 }
 
 TEST(Update, OneOperationsLevelNamesIt) {
--- a/tests/streams/instance_test.cpp
+++ b/tests/streams/policy_host_test.cpp
@@ -1,5 +1,5 @@
 // A coordinator without sockets: joins, successors, names, and the same tables as the bench's adapter orders.
-#include "streams/instance.hpp"
+#include "streams/policy_host.hpp"
 
 #include <gtest/gtest.h>
 
@@ -26,8 +26,8 @@
 constexpr unsigned kBackends = 12;
 std::string host_name(unsigned k) { return "s-" + std::to_string(k); }
 
-discovery::Listing list(std::uint64_t version = 1, bool whole = true) {
-  discovery::Listing l{version, whole, {}};
+discovery::BackendList list(std::uint64_t version = 1, bool whole = true) {
+  discovery::BackendList l{version, whole, {}};
   for (unsigned k = 1; k <= kBackends; ++k)
     l.rows.push_back({host_name(k), std::string(1, static_cast<char>('a' + k % 3)), discovery::Health::ready,
                       1.0 + 0.1 * k, 0});
@@ -84,11 +84,11 @@
 };
 
 struct Rig {
-  Rig(int, Instance::Gather gather)
-      : instance{read_settings(Fields{config(), "settings"}), read_labels(Fields{config(), "settings"}), 5,
+  Rig(int, PolicyHost::Gather gather)
+      : instance{read_settings(Fields{config(), "settings"}), read_id_names(Fields{config(), "settings"}), 5,
                  Instant{}, gather} {}
-  explicit Rig(Instance::Gather gather = {Span{}, Span{}}) : Rig{0, gather} {}
-  Instance instance;
+  explicit Rig(PolicyHost::Gather gather = {Span{}, Span{}}) : Rig{0, gather} {}
+  PolicyHost instance;
   Instant now;
   Proxies proxies;
   std::map<StreamId, std::uint16_t> streams;
@@ -102,14 +102,14 @@
   void step(double at) {
     now = Instant::at_seconds(at);
     const auto effects = instance.step(now);
-    follows += effects.follow ? 1 : 0;
+    follows += effects.subscribe ? 1 : 0;
     for (const auto& send : effects.sends) proxies.apply(streams.at(send.stream), send.message->bytes);
   }
 };
 
-TEST(Instance, KnownBackendsReachAProxyThatJoinsAndDiscoveryIsAsked) {
+TEST(PolicyHost, KnownBackendsReachAProxyThatJoinsAndDiscoveryIsAsked) {
   Rig r;
-  r.instance.listed(list(), true);
+  r.instance.handle_list(list(), true);
   r.step(1);
   EXPECT_EQ(r.follows, 1);
   for (std::uint16_t p = 0; p < 8; ++p) r.join(p + 1U, p);
@@ -120,9 +120,9 @@
   EXPECT_EQ(r.proxies.messages, 8);  // one each, whatever it holds
 }
 
-TEST(Instance, ASuccessorBeforeTheOldEndIsLeftThenJoined) {
+TEST(PolicyHost, ASuccessorBeforeTheOldEndIsLeftThenJoined) {
   Rig r;
-  r.instance.listed(list(), true);
+  r.instance.handle_list(list(), true);
   for (std::uint16_t p = 0; p < 8; ++p) r.join(p + 1U, p);
   r.step(1);
   r.proxies.held.clear();
@@ -132,116 +132,117 @@
   r.step(1.1);
   EXPECT_FALSE(r.proxies.held.at(3).lines.empty());  // the new stream gets a whole table
   r.proxies.held.clear();
-  r.instance.left(4);  // the old end is seen at last, and removes nothing
+  r.instance.leave(4);  // the old end is seen at last, and removes nothing
   EXPECT_FALSE(r.instance.pending());
-  r.instance.left(100);
+  r.instance.leave(100);
   EXPECT_TRUE(r.instance.pending());
 }
 
-TEST(Instance, LinesOfOneRoundWaitForEachOtherAndNothingElseWaits) {
-  Rig r{Instance::Gather{Span::seconds(0.005), Span::seconds(0.04)}};
-  r.instance.listed(list(), true);
+TEST(PolicyHost, LinesOfOneRoundWaitForEachOtherAndNothingElseWaits) {
+  Rig r{PolicyHost::Gather{Span::seconds(0.005), Span::seconds(0.04)}};
+  r.instance.handle_list(list(), true);
   r.step(1);
   const auto line = [&](double at) {
-    EXPECT_EQ(r.instance.report(Instant::at_seconds(at), {},
-                                Heard{"a", "s-1", 9, 0, Span::seconds(0.2), Span::seconds(2), 0.5}),
+    EXPECT_EQ(r.instance.handle_report(Instant::at_seconds(at), {},
+                                       Heard{"a", "s-1", 9, 0, Span::seconds(0.2), Span::seconds(2), 0.5}),
               nullptr);
   };
   line(1.1), line(1.104);
-  EXPECT_EQ(r.instance.wake(), Instant::at_seconds(1.109));
+  EXPECT_EQ(r.instance.next_wake(), Instant::at_seconds(1.109));
   r.join(1, 0);
   r.step(1.105);  // the join goes on at once, the lines still wait
   EXPECT_TRUE(r.instance.pending());
   r.step(1.109);
   EXPECT_FALSE(r.instance.pending());
   for (int k = 0; k < 20; ++k) line(1.2 + 0.004 * k);  // they come without a pause
-  EXPECT_EQ(r.instance.wake(), Instant::at_seconds(1.24));
+  EXPECT_EQ(r.instance.next_wake(), Instant::at_seconds(1.24));
 }
 
-TEST(Instance, JoiningsOfWhatDoesNotExistAreRefused) {
+TEST(PolicyHost, JoiningsOfWhatDoesNotExistAreRefused) {
   Rig r;
   EXPECT_STREQ(r.instance.join(1, {8, "a", 1, true}).refused, "no such proxy");
   EXPECT_STREQ(r.instance.join(1, {7, "z", 1, true}).refused, "no such zone");
   EXPECT_EQ(r.instance.join(1, {7, "a", 1, true}).refused, nullptr);
 }
 
-TEST(Instance, ReportsOnWhatDoesNotExistAreSkipped) {
+TEST(PolicyHost, ReportsOnWhatDoesNotExistAreSkipped) {
   Rig r;
-  r.instance.listed(list(), true);
+  r.instance.handle_list(list(), true);
   r.join(1, 0);
   r.step(1);
-  EXPECT_STREQ(r.instance.report(r.now, {}, Heard{"a", "s-99", 1, 0, {}, Span::seconds(2), {}}),
+  EXPECT_STREQ(r.instance.handle_report(r.now, {}, Heard{"a", "s-99", 1, 0, {}, Span::seconds(2), {}}),
                "no such backend");
-  EXPECT_STREQ(r.instance.report(r.now, {}, Heard{"z", "s-1", 1, 0, {}, Span::seconds(2), {}}),
+  EXPECT_STREQ(r.instance.handle_report(r.now, {}, Heard{"z", "s-1", 1, 0, {}, Span::seconds(2), {}}),
                "no such zone");
-  EXPECT_STREQ(r.instance.report(r.now, 1, Heard{"a", "s-1", 1, 0, {}, Span::seconds(2), {}}),
+  EXPECT_STREQ(r.instance.handle_report(r.now, 1, Heard{"a", "s-1", 1, 0, {}, Span::seconds(2), {}}),
                "not a stream's to tell");
-  EXPECT_STREQ(r.instance.report(r.now, 1, Usage{0, "tea", 1, Span::seconds(2)}), "no such operation");
-  EXPECT_STREQ(r.instance.report(r.now, 1, Usage{1, "order", 1, Span::seconds(2)}), "another proxy's");
-  EXPECT_STREQ(r.instance.report(r.now, {}, Usage{1, "order", 1, Span::seconds(2)}),
+  EXPECT_STREQ(r.instance.handle_report(r.now, 1, Usage{0, "tea", 1, Span::seconds(2)}), "no such operation");
+  EXPECT_STREQ(r.instance.handle_report(r.now, 1, Usage{1, "order", 1, Span::seconds(2)}), "another proxy's");
+  EXPECT_STREQ(r.instance.handle_report(r.now, {}, Usage{1, "order", 1, Span::seconds(2)}),
                "of a proxy that has not joined");
   EXPECT_FALSE(r.instance.pending());
-  EXPECT_EQ(r.instance.report(r.now, 1, Usage{0, "order", 1, Span::seconds(2)}), nullptr);
-  EXPECT_EQ(r.instance.report(r.now, {}, Usage{0, "order", 1, Span::seconds(2)}), nullptr);
-  EXPECT_EQ(r.instance.report(r.now, {}, Heard{"a", "s-1", 1, 0, {}, Span::seconds(2), {}}), nullptr);
-  EXPECT_EQ(r.instance.report(r.now, 1, Applied{0, 3}), nullptr);
+  EXPECT_EQ(r.instance.handle_report(r.now, 1, Usage{0, "order", 1, Span::seconds(2)}), nullptr);
+  EXPECT_EQ(r.instance.handle_report(r.now, {}, Usage{0, "order", 1, Span::seconds(2)}), nullptr);
+  EXPECT_EQ(r.instance.handle_report(r.now, {}, Heard{"a", "s-1", 1, 0, {}, Span::seconds(2), {}}), nullptr);
+  EXPECT_EQ(r.instance.handle_report(r.now, 1, Applied{0, 3}), nullptr);
   EXPECT_TRUE(r.instance.pending());
 }
 
-TEST(Instance, RowsOfAZoneThatDoesNotExistAreCountedAndSkipped) {
+TEST(PolicyHost, RowsOfAZoneThatDoesNotExistAreCountedAndSkipped) {
   Rig r;
   auto l = list();
   l.rows[2].zone = "nowhere";
-  EXPECT_EQ(r.instance.listed(l), 1U);
-  EXPECT_EQ(r.instance.believe().names, kBackends - 1);
+  EXPECT_EQ(r.instance.handle_list(l), 1U);
+  EXPECT_EQ(r.instance.take_stats().known_backends, kBackends - 1);
 }
 
-TEST(Instance, NamesAreForgottenADayLong) {
+TEST(PolicyHost, NamesAreForgottenADayLong) {
   Rig r;
   for (std::uint16_t p = 0; p < 8; ++p) r.join(p + 1U, p);
   std::size_t most = 0;
   for (unsigned k = 0; k < 500; ++k) {  // each list holds backends that none before it held
     auto l = list(k + 1);
     for (auto& row : l.rows) row.host += "-" + std::to_string(k);
-    r.instance.listed(l);
+    r.instance.handle_list(l);
     r.step(k * 5.0);
-    most = std::max(most, r.instance.believe().names);
+    most = std::max(most, r.instance.take_stats().known_backends);
   }
   EXPECT_LE(most, 10 * kBackends);
 }
 
 // Where a loss from the list does not bind, the module keeps a backend that answers, and may draw its line
 // again long after it had none: while a zone's drain has it at zero, say.
-TEST(Instance, NamesStandWhereALossFromTheListDoesNotBind) {
+TEST(PolicyHost, NamesStandWhereALossFromTheListDoesNotBind) {
   Json loose = config();
   loose["rules"]["removal-not-binding"] = true;
-  Instance instance{read_settings(Fields{loose, "settings"}), read_labels(Fields{loose, "settings"}), 5,
-                    Instant{}};
-  (void)instance.listed(list(), true);
+  PolicyHost instance{read_settings(Fields{loose, "settings"}), read_id_names(Fields{loose, "settings"}), 5,
+                      Instant{}};
+  (void)instance.handle_list(list(), true);
   (void)instance.step(Instant::at_seconds(1));
-  discovery::Listing lost{2, false, {{host_name(4), "", discovery::Health::gone, 1, 0}}};
-  (void)instance.listed(lost);
+  discovery::BackendList lost{2, false, {{host_name(4), "", discovery::Health::gone, 1, 0}}};
+  (void)instance.handle_list(lost);
   (void)instance.step(Instant::at_seconds(2));
   for (std::uint64_t k = 3; k < 7; ++k) {  // the day goes on with others
-    (void)instance.listed(
-        discovery::Listing{k, false, {{host_name(5), "c", discovery::Health::ready, 1, 0}}});
+    (void)instance.handle_list(
+        discovery::BackendList{k, false, {{host_name(5), "c", discovery::Health::ready, 1, 0}}});
     (void)instance.step(Instant::at_seconds(40.0 * static_cast<double>(k)));
   }
-  EXPECT_EQ(instance.report(Instant::at_seconds(300), {}, Heard{"a", "s-4", 1, 0, {}, Span::seconds(2), {}}),
-            nullptr);
-  EXPECT_EQ(instance.believe().names, kBackends);
+  EXPECT_EQ(
+      instance.handle_report(Instant::at_seconds(300), {}, Heard{"a", "s-4", 1, 0, {}, Span::seconds(2), {}}),
+      nullptr);
+  EXPECT_EQ(instance.take_stats().known_backends, kBackends);
 }
 
 // Reports wait for each other and joins, ends and lists do not, so a report can reach the module after its
 // proxy has left or its backend is forgotten. Every order must name what was listed, and go to a stream that
 // is joined.
-TEST(Instance, HandOversInAnyOrderNameNothingThatWasNotListed) {
+TEST(PolicyHost, HandOversInAnyOrderNameNothingThatWasNotListed) {
   for (const bool binds : {true, false}) {
     for (unsigned seed = 1; seed <= 12; ++seed) {
       Json settings = config();
       if (!binds) settings["rules"]["removal-not-binding"] = true;
-      Instance instance{read_settings(Fields{settings, "settings"}),
-                        read_labels(Fields{settings, "settings"}), seed, Instant{}};
+      PolicyHost instance{read_settings(Fields{settings, "settings"}),
+                          read_id_names(Fields{settings, "settings"}), seed, Instant{}};
       std::mt19937 chance{seed};
       const auto one_of = [&](unsigned n) { return static_cast<unsigned>(chance() % n); };
       std::set<std::string> ever;
@@ -261,7 +262,7 @@
               "h-" + std::to_string(one_of(2) == 0 ? one_of(born + 1) : born - std::min(born, one_of(6)));
           switch (one_of(6)) {
             case 0: {  // new backends, drains, losses, re-listings; now and then the whole list
-              discovery::Listing l{++version, one_of(12) == 0, {}};
+              discovery::BackendList l{++version, one_of(12) == 0, {}};
               for (unsigned n = 1 + one_of(4); n > 0; --n) {
                 const auto health = static_cast<discovery::Health>(one_of(3));
                 const std::string name = one_of(3) == 0 ? "h-" + std::to_string(++born) : host;
@@ -269,31 +270,31 @@
                 l.rows.push_back(
                     {name, zone, health, 1, one_of(2) == 0 ? 0 : static_cast<std::int64_t>(1000 * at)});
               }
-              (void)instance.listed(l);
+              (void)instance.handle_list(l);
               break;
             }
             case 1: {
               const auto join = instance.join(++last, {proxy, zone, 5, true});
               if (join.succeeds)
-                on.erase(*join.succeeds), instance.left(*join.succeeds);  // its end is seen after all
+                on.erase(*join.succeeds), instance.leave(*join.succeeds);  // its end is seen after all
               on[last] = proxy;
               break;
             }
             case 2:
-              if (!on.empty()) instance.left(on.begin()->first), on.erase(on.begin());
+              if (!on.empty()) instance.leave(on.begin()->first), on.erase(on.begin());
               break;
             case 3:
-              (void)instance.report(now, {},
-                                    Heard{zone, host, 9, static_cast<int>(one_of(10)), Span::seconds(0.2),
-                                          Span::seconds(2), 0.9});
+              (void)instance.handle_report(now, {},
+                                           Heard{zone, host, 9, static_cast<int>(one_of(10)),
+                                                 Span::seconds(0.2), Span::seconds(2), 0.9});
               break;
             default:
               if (!on.empty())
-                (void)instance.report(now, on.begin()->first,
-                                      Usage{on.begin()->second, "order", 9, Span::seconds(2)});
+                (void)instance.handle_report(now, on.begin()->first,
+                                             Usage{on.begin()->second, "order", 9, Span::seconds(2)});
           }
         }
-        for (const auto& [stream, proxy] : on) ASSERT_TRUE(instance.joined(proxy));
+        for (const auto& [stream, proxy] : on) ASSERT_TRUE(instance.is_joined(proxy));
         if (one_of(3) == 0) continue;  // more may come before the turn's end
         for (const auto& send : instance.step(now).sends) {
           ++sends;
@@ -302,15 +303,15 @@
           for (auto place = bytes.find("h-"); place != std::string::npos; place = bytes.find("h-", place + 1))
             ASSERT_TRUE(ever.contains(bytes.substr(place, bytes.find(':', place) - place)));
         }
-        if (turn % 50 == 0) (void)instance.believe();
+        if (turn % 50 == 0) (void)instance.take_stats();
       }
       EXPECT_GT(sends, 100U);
     }
   }
 }
 
-// The same events through the bench's adapter and through an Instance leave the same tables at the proxies.
-TEST(Instance, OrdersTheSameTablesAsTheAdapter) {
+// The same events through the bench's adapter and through an PolicyHost leave the same tables at the proxies.
+TEST(PolicyHost, OrdersTheSameTablesAsTheAdapter) {
   Rig r;
   simhost::Host host;
   std::map<int, std::map<std::uint64_t, double>> tables;
@@ -334,7 +335,7 @@
       if (o["t"] == "remind") alarms.emplace(now + o["from-now-s"].get<double>(), o["tag"]);
     }
   };
-  const auto rows = [](const discovery::Listing& l) {
+  const auto rows = [](const discovery::BackendList& l) {
     Json members = Json::array();
     for (const auto& row : l.rows)
       members.push_back(
@@ -355,7 +356,7 @@
 
   Json items = Json::array({Json{{"t", "provision"}, {"i", 0}, {"rng-seed", 5}, {"config", config()}},
                             rows(list()), registry("cached")});
-  r.instance.listed(list(), true);
+  r.instance.handle_list(list(), true);
   for (std::uint16_t p = 0; p < 8; ++p) {
     r.join(p + 1U, p);
     items.push_back(
@@ -384,25 +385,26 @@
                            {"cost-time-s", 0.25},
                            {"elapsed-s", 2.0},
                            {"load", {{"cpu", 0.5}}}});
-          EXPECT_EQ(r.instance.report(r.now, {},
-                                      Heard{std::string(1, static_cast<char>('a' + zone)), host_name(k), 10,
-                                            bad, Span::seconds(0.25), Span::seconds(2), 0.5}),
-                    nullptr);
+          EXPECT_EQ(
+              r.instance.handle_report(r.now, {},
+                                       Heard{std::string(1, static_cast<char>('a' + zone)), host_name(k), 10,
+                                             bad, Span::seconds(0.25), Span::seconds(2), 0.5}),
+              nullptr);
         }
     if (round == 30 || round == 44) {  // a drain, then a new start of the same
-      discovery::Listing change{
+      discovery::BackendList change{
           2,
           false,
           {{host_name(7), "b", round == 30 ? discovery::Health::draining : discovery::Health::ready, 1,
             round == 30 ? 0 : 11'000}}};
       items.push_back(rows(change)), items.push_back(registry("delta"));
-      r.instance.listed(change);
+      r.instance.handle_list(change);
     }
     if (round == 50) {
       items.push_back({{"t", "disconnected"}, {"i", 0}, {"client-lb", 2}});
       items.push_back(
           {{"t", "checked-in"}, {"i", 0}, {"client-lb", 2}, {"site", 2}, {"w", 5.0}, {"on", false}});
-      r.instance.left(3);
+      r.instance.leave(3);
       r.join(200, 2);
     }
     adapter(items);
--- a/tests/streams/gate_test.cpp
+++ b/tests/streams/stream_server_test.cpp
@@ -1,5 +1,5 @@
 // The gate on real sockets: who joins, who is refused, and what a joined stream may and may not send.
-#include "streams/gate.hpp"
+#include "streams/stream_server.hpp"
 
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
@@ -53,24 +53,24 @@
 };
 
 struct Rig {
-  explicit Rig(Gate::Limits limits = {}) {
-    gate = std::make_unique<Gate>(
+  explicit Rig(StreamServer::Limits limits = {}) {
+    gate = std::make_unique<StreamServer>(
         loop, kAt, limits,
-        Gate::Callbacks{[this](StreamId id, const Joined& m) -> Instance::JoinResult {
-                          if (m.proxy > 100) return {"no such proxy", {}};
-                          Instance::JoinResult result;
-                          if (const auto it = on.find(m.proxy); it != on.end()) result.succeeds = it->second;
-                          on[m.proxy] = id;
-                          return result;
-                        },
-                        [](const Collector& m) { return m.zone == "a" ? nullptr : "no such zone"; },
-                        [this](std::optional<StreamId> from, const Message& m) -> const char* {
-                          if (const auto* usage = std::get_if<Usage>(&m)) arrived += usage->arrived;
-                          if (std::holds_alternative<Heard>(m)) ++heard;
-                          return from || std::holds_alternative<Heard>(m) ? nullptr
-                                                                          : "not a collector's to tell";
-                        },
-                        [this](StreamId id) { left.push_back(id); }});
+        StreamServer::Callbacks{
+            [this](StreamId id, const ProxyJoin& m) -> PolicyHost::JoinResult {
+              if (m.proxy > 100) return {"no such proxy", {}};
+              PolicyHost::JoinResult result;
+              if (const auto it = on.find(m.proxy); it != on.end()) result.succeeds = it->second;
+              on[m.proxy] = id;
+              return result;
+            },
+            [](const CollectorJoin& m) { return m.zone == "a" ? nullptr : "no such zone"; },
+            [this](std::optional<StreamId> from, const Message& m) -> const char* {
+              if (const auto* usage = std::get_if<Usage>(&m)) arrived += usage->arrived;
+              if (std::holds_alternative<Heard>(m)) ++heard;
+              return from || std::holds_alternative<Heard>(m) ? nullptr : "not a collector's to tell";
+            },
+            [this](StreamId id) { left.push_back(id); }});
   }
   void run(double s = 0.05) {
     loop.after(Span::seconds(s), [this] { loop.stop(); });
@@ -80,14 +80,14 @@
   std::map<std::uint16_t, StreamId> on;
   std::vector<StreamId> left;
   int arrived = 0, heard = 0;
-  std::unique_ptr<Gate> gate;
+  std::unique_ptr<StreamServer> gate;
 };
 
 std::string joined(int proxy) {
   return "joined sidecar=" + std::to_string(proxy) + " az=a share=1 standing=1\r\n";
 }
 
-TEST(Gate, AStreamJoinsReportsAndGetsItsOrders) {
+TEST(StreamServer, AStreamJoinsReportsAndGetsItsOrders) {
   Rig r;
   Client c{"ping\r\n" + joined(7) + "usage sidecar=7 kind=x n=19 bad=0 window=1000.0\r\n"};
   r.run();
@@ -101,7 +101,7 @@
   EXPECT_EQ(r.left, std::vector<StreamId>{r.on[7]});
 }
 
-TEST(Gate, BytesInPiecesAreTheSameMessage) {
+TEST(StreamServer, BytesInPiecesAreTheSameMessage) {
   Rig r;
   Client c;
   for (const char byte : joined(9) + "usage sidecar=9 kind=x n=3 bad=0 window=1.0\r\n") {
@@ -112,8 +112,8 @@
   EXPECT_EQ(r.arrived, 3);
 }
 
-TEST(Gate, AQuietStreamAndAQuietCollectorStayBeyondThePendingOnesDeadline) {
-  Gate::Limits limits;
+TEST(StreamServer, AQuietStreamAndAQuietCollectorStayBeyondThePendingOnesDeadline) {
+  StreamServer::Limits limits;
   limits.joins_within = Span::seconds(0.1);
   Rig r{limits};
   Client stream{joined(1)}, collector{"collector az=a\r\n"}, silent, half{"joined sid"}, pinger{"ping\r\n"};
@@ -125,11 +125,11 @@
   EXPECT_EQ(pinger.read().find("pong\r\nrefused"), 0U);  // a sign of life, and no more time for it
   r.run(0.5);
   EXPECT_TRUE(silent.closed() && half.closed() && pinger.closed());
-  EXPECT_EQ(r.gate->peers(), 2U);
+  EXPECT_EQ(r.gate->connection_count(), 2U);
   EXPECT_TRUE(r.left.empty());
 }
 
-TEST(Gate, WhatIsNoJoiningIsRefusedAtOnce) {
+TEST(StreamServer, WhatIsNoJoiningIsRefusedAtOnce) {
   Rig r;
   const std::string bad[] = {"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
                              "update full=1 endpoints=s-1:1\r\n",
@@ -150,11 +150,11 @@
     EXPECT_EQ(it->read().find("refused reason="), 0U);
   r.run(0.5);
   for (auto& c : clients) EXPECT_TRUE(c.closed());
-  EXPECT_EQ(r.gate->peers(), 0U);
+  EXPECT_EQ(r.gate->connection_count(), 0U);
   EXPECT_TRUE(r.on.empty());
 }
 
-TEST(Gate, MalformedReportsAreCountedAndTheirStreamLives) {
+TEST(StreamServer, MalformedReportsAreCountedAndTheirStreamLives) {
   Rig r;
   Client c{joined(1) +
            "usage sidecar=1 kind=x n=-4 bad=0 window=1\r\nusage sidecar=1\r\nusage sidecar=1 kind=x n=4 "
@@ -167,7 +167,7 @@
   EXPECT_EQ(r.gate->counts().malformed.at("usage: n"), 1U);
 }
 
-TEST(Gate, AStreamThatContinuesWithWhatCanNotBeReadHasLeftAtOnce) {
+TEST(StreamServer, AStreamThatContinuesWithWhatCanNotBeReadHasLeftAtOnce) {
   Rig r;
   Client whole_line{joined(1) + "nonsense that ends\r\n"}, no_end{joined(2) + "\x16\x03\x01"};
   r.run();
@@ -175,7 +175,7 @@
   EXPECT_TRUE(whole_line.closed() && no_end.closed());
 }
 
-TEST(Gate, AUnreadableCollectorGoesAndNoProxyLeaves) {
+TEST(StreamServer, AUnreadableCollectorGoesAndNoProxyLeaves) {
   Rig r;
   Client c{"collector az=a\r\nheard az=a host=s n=1 bad=0 avg=1 window=9\r\n%%%\r\n"};
   r.run();
@@ -184,7 +184,7 @@
   EXPECT_TRUE(r.left.empty());
 }
 
-TEST(Gate, ASuccessorEndsTheStreamBeforeItAndNobodyIsTold) {
+TEST(StreamServer, ASuccessorEndsTheStreamBeforeItAndNobodyIsTold) {
   Rig r;
   Client old{joined(5)};
   r.run();
@@ -195,8 +195,8 @@
   EXPECT_TRUE(r.left.empty());  // the callbacks said so itself
 }
 
-TEST(Gate, AFloodOfPendingOnesCostsNoProxyItsPlace) {
-  Gate::Limits limits;
+TEST(StreamServer, AFloodOfPendingOnesCostsNoProxyItsPlace) {
+  StreamServer::Limits limits;
   limits.pending = 20;
   Rig r{limits};
   std::list<Client> flood;
@@ -207,16 +207,16 @@
   }
   r.run(0.2);
   EXPECT_EQ(r.on.size(), 30U);
-  EXPECT_LE(r.gate->pending(), 20U);
+  EXPECT_LE(r.gate->pending_count(), 20U);
   r.run(1.8);
   for (auto& c : flood) EXPECT_TRUE(c.closed());
   for (auto& c : proxies) EXPECT_FALSE(c.closed());
-  EXPECT_EQ(r.gate->peers(), 30U);
+  EXPECT_EQ(r.gate->connection_count(), 30U);
 }
 
 // All have connected and sent the first half before any sends the second: who joins needs a place meanwhile.
-TEST(Gate, AHerdWhoseJoinsComeInPiecesIsTakenInWhereDescriptorsAllowIt) {
-  Gate::Limits limits;
+TEST(StreamServer, AHerdWhoseJoinsComeInPiecesIsTakenInWhereDescriptorsAllowIt) {
+  StreamServer::Limits limits;
   limits.peers = 100, limits.pending = 80;
   Rig r{limits};
   std::list<Client> early, herd;
@@ -224,7 +224,7 @@
   r.run();
   for (int k = 20; k < 80; ++k) herd.emplace_back(joined(k).substr(0, 20));
   r.run();
-  EXPECT_EQ(r.gate->pending(), 60U);
+  EXPECT_EQ(r.gate->pending_count(), 60U);
   int k = 20;
   for (auto& c : herd) c.send(joined(k++).substr(20));
   r.run();
@@ -232,17 +232,17 @@
   for (auto& c : early) EXPECT_FALSE(c.closed());
 }
 
-TEST(Gate, WhoIsTooManyIsToldAndNoJoinedStreamLosesItsPlace) {
-  Gate::Limits limits;
+TEST(StreamServer, WhoIsTooManyIsToldAndNoJoinedStreamLosesItsPlace) {
+  StreamServer::Limits limits;
   limits.peers = 30, limits.pending = 30;
   Rig r{limits};
   std::list<Client> streams, flood;
   for (int k = 0; k < 22; ++k) streams.emplace_back(joined(k));
   r.run();
-  EXPECT_TRUE(r.gate->full());
+  EXPECT_TRUE(r.gate->is_full());
   for (int k = 0; k < 60; ++k) flood.emplace_back("joined side");
   r.run();
-  EXPECT_EQ(r.gate->pending(), 8U);
+  EXPECT_EQ(r.gate->pending_count(), 8U);
   int told = 0;
   for (auto& c : flood) told += c.read().find("refused reason=no-room") == 0 ? 1 : 0;
   EXPECT_EQ(told, 52);
@@ -251,7 +251,7 @@
 }
 
 // What comes with the end: unread bytes on every kind of connection, and some that are not accepted yet.
-TEST(Gate, ShuttingDownItAnswersAllThatHasComeAndClosesInOrder) {
+TEST(StreamServer, ShuttingDownItAnswersAllThatHasComeAndClosesInOrder) {
   Rig r;
   Client stream{joined(1)}, collector{"collector az=a\r\n"}, half;
   r.run();
@@ -285,7 +285,7 @@
     EXPECT_TRUE(c->closed() && !c->reset());
 }
 
-TEST(Gate, ShuttingDownItIsDoneAtOnceWhereAllPeersLeaveAndInTimeWhereOneDoesNotRead) {
+TEST(StreamServer, ShuttingDownItIsDoneAtOnceWhereAllPeersLeaveAndInTimeWhereOneDoesNotRead) {
   {
     Rig r;
     Client stream{joined(1)};
@@ -301,15 +301,15 @@
   Client deaf{joined(1)};
   r.run();
   const std::string much(60000, 'u');
-  for (int k = 0; k < 200 && r.gate->counts().bytes_out < (8U << 20U); ++k) r.gate->send(r.on[1], much);
+  for (int k = 0; k < 200 && r.gate->counts().bytes_sent < (8U << 20U); ++k) r.gate->send(r.on[1], much);
   bool done = false;
   r.gate->shut_down(Span::seconds(0.1), [&] { done = true, r.loop.stop(); });
   r.run(0.3);
   EXPECT_TRUE(done);
 }
 
-TEST(Gate, AProxyThatDoesNotReadIsStillReadAndResetAtTheLimit) {
-  Gate::Limits limits;
+TEST(StreamServer, AProxyThatDoesNotReadIsStillReadAndResetAtTheLimit) {
+  StreamServer::Limits limits;
   limits.unread = 64U << 10U;
   Rig r{limits};
   Client c{joined(1)};
@@ -321,12 +321,12 @@
     r.run(0.002);
   }
   EXPECT_EQ(r.left.size(), 1U);
-  EXPECT_EQ(r.gate->counts().not_reading, 1U);
+  EXPECT_EQ(r.gate->counts().slow_consumers, 1U);
 }
 
 // All of it happens before the loop's first turn, so that accept finds connections that are closed or reset
 // already.
-TEST(Gate, ConnectionsThatAreGoneBeforeTheFirstReadLeaveNothingBehind) {
+TEST(StreamServer, ConnectionsThatAreGoneBeforeTheFirstReadLeaveNothingBehind) {
   Rig r;
   for (int k = 0; k < 60; ++k) {
     Client c;
@@ -335,15 +335,15 @@
     k % 2 == 0 ? c.hang_up() : c.hang_up_hard();
   }
   r.run();
-  EXPECT_EQ(r.gate->peers(), 0U);
-  EXPECT_EQ(r.gate->pending(), 0U);
+  EXPECT_EQ(r.gate->connection_count(), 0U);
+  EXPECT_EQ(r.gate->pending_count(), 0U);
   Client later{joined(8)};
   r.run();
   EXPECT_TRUE(r.on.contains(8));
-  EXPECT_EQ(r.gate->peers(), 1U);
+  EXPECT_EQ(r.gate->connection_count(), 1U);
 }
 
-TEST(Gate, WithoutDescriptorsNobodyWaitsInTheQueueForEver) {
+TEST(StreamServer, WithoutDescriptorsNobodyWaitsInTheQueueForEver) {
   Rig r;
   rlimit before{};
   getrlimit(RLIMIT_NOFILE, &before);
