--- a/bench/cluster_bench.cpp
+++ b/bench/cluster_bench.cpp
@@ -8,7 +8,7 @@
 #include <memory>
 
 #include "cluster/cluster.hpp"
-#include "cluster/frames.hpp"
+#include "cluster/frame_codec.hpp"
 
 namespace {
 
@@ -20,14 +20,14 @@
 void measure(std::size_t n) {
   const Key key{1, {}};
   std::vector<std::unique_ptr<Cluster>> nodes(n);
-  std::vector<std::unique_ptr<Frames>> frames;
+  std::vector<std::unique_ptr<FrameCodec>> frames;
   ClusterSettings s;
   for (std::size_t k = 0; k < n; ++k) s.members.push_back(id(k));
-  s.shards = 16, s.lease.length = Span::seconds(3), s.lease.ask_again = Span::seconds(0.3);
+  s.shards = 16, s.lease.duration = Span::seconds(3), s.lease.retry_interval = Span::seconds(0.3);
   for (std::size_t k = 0; k < n; ++k) {
-    s.self = id(k), s.seed = k + 1, s.floor = {1};
+    s.self = id(k), s.seed = k + 1, s.term_floor = {1};
     nodes[k] = std::make_unique<Cluster>(s, Instant{});
-    frames.push_back(std::make_unique<Frames>(id(k), 1, std::vector<Key>{key}));
+    frames.push_back(std::make_unique<FrameCodec>(id(k), 1, std::vector<Key>{key}));
   }
   std::deque<std::pair<double, std::string>> underway;
   std::uint64_t bytes = 0;
@@ -58,7 +58,7 @@
     if (!nodes[1] && known == 0) {
       bool all = true;
       for (std::size_t k = 0; k < n; ++k)
-        all = all && (!nodes[k] || nodes[k]->standing(id(1)) == Standing::gone);
+        all = all && (!nodes[k] || nodes[k]->state_of(id(1)) == MemberState::gone);
       if (all) known = now - kill;
     }
   }
--- a/bench/program_bench.cpp
+++ b/bench/program_bench.cpp
@@ -59,7 +59,7 @@
 // A core with n workers that report once a second; stepped as the loop would: every 4 ms, or when it asks.
 class Rig {
  public:
-  explicit Rig(std::size_t n) : s{settings()}, core{s, coordinator::module_of(s)} {
+  explicit Rig(std::size_t n) : s{settings()}, core{s, coordinator::policy_decision_maker(s)} {
     for (std::size_t k = 0; k < n; ++k) {
       coordinator::RosterEntry e;
       e.name = "w" + std::to_string(k), e.zone = ZoneId{static_cast<std::uint16_t>(k % 3)};
@@ -67,14 +67,14 @@
       e.at.port = 9000;
       roster.push_back(e);
     }
-    step({coordinator::RosterHeard{roster}});
+    step({coordinator::RosterUpdate{roster}});
     counts.resize(n);
   }
   void step(const std::vector<Input>& inputs) {
     auto e = core.step(now, inputs);
     if (stepped) stepped(inputs, e);
     if (e.published) published = e.published;
-    wake = e.wake_at;
+    wake = e.next_wakeup;
   }
   void play(double seconds) {
     const std::size_t n = roster.size();
@@ -96,10 +96,10 @@
                                      0,
                                      0.2 * static_cast<double>(counts[k])});
         inputs.emplace_back(
-            coordinator::LoadHeard{BackendId{static_cast<std::uint32_t>(k + 1)}, next, std::move(sample)});
+            coordinator::LoadReport{BackendId{static_cast<std::uint32_t>(k + 1)}, next, std::move(sample)});
       }
       if (turn % 250 == 0)
-        for (std::uint16_t g = 0; g < 4; ++g) inputs.emplace_back(coordinator::LookedUp{ProxyId{g}});
+        for (std::uint16_t g = 0; g < 4; ++g) inputs.emplace_back(coordinator::GroupLookup{ProxyId{g}});
       ++turn;
       now = next;
       const auto began = std::chrono::steady_clock::now();
@@ -115,7 +115,7 @@
   std::vector<coordinator::RosterEntry> roster;
   std::vector<std::uint64_t> counts;
   Instant now = Instant::at_seconds(1000), wake;
-  std::shared_ptr<const coordinator::Published> published;
+  std::shared_ptr<const coordinator::PublishedState> published;
   std::size_t turn = 0;
   std::chrono::steady_clock::duration spent{}, longest{};
 };
@@ -301,7 +301,7 @@
   const auto change = [&] {
     for (auto& entry : rig.roster) entry.weight *= 1.01;
     rig.now = rig.now + Span::seconds(1);
-    const Input heard = coordinator::RosterHeard{rig.roster};
+    const Input heard = coordinator::RosterUpdate{rig.roster};
     const auto began = std::chrono::steady_clock::now();
     rig.step({heard});
     const auto stepped = std::chrono::steady_clock::now();
@@ -351,7 +351,7 @@
     front.publish(rig.published, rig.core.group_map());
     const auto file = (folder / "bench.h5").string();
     {
-      background::Background background{net::monotonic_now};
+      background::Executor background{net::monotonic_now};
       std::optional<record::Recorder> recorder;
       if (with) {
         recorder.emplace(
@@ -465,17 +465,17 @@
   std::thread thread_;
 };
 
-std::shared_ptr<coordinator::WantedTable> wanted(std::uint64_t version, std::size_t lines) {
-  auto t = std::make_shared<coordinator::WantedTable>();
+std::shared_ptr<coordinator::DesiredTable> wanted(std::uint64_t version, std::size_t lines) {
+  auto t = std::make_shared<coordinator::DesiredTable>();
   t->version = version;
-  t->parts.push_back({"refill-check", {}, {}, -1});
+  t->operations.push_back({"refill-check", {}, {}, -1});
   for (std::size_t k = 0; k < lines; ++k) {
     const std::string name = "w" + std::to_string(k);
-    t->known.push_back(name);
+    t->known_backends.push_back(name);
     const double weight = k == 0 ? 1 : 0.1 + 0.8 * static_cast<double>((k * 7 + version * 13) % 97) / 97;
-    t->parts[0].lines.push_back({BackendId{static_cast<std::uint32_t>(k)}, name,
-                                 *Endpoint::parse("127.6.0." + std::to_string(k % 250 + 1) + ":9000"), weight,
-                                 false});
+    t->operations[0].lines.push_back({BackendId{static_cast<std::uint32_t>(k)}, name,
+                                      *Endpoint::parse("127.6.0." + std::to_string(k % 250 + 1) + ":9000"),
+                                      weight, false});
   }
   return t;
 }
--- a/bench/store_bench.cpp
+++ b/bench/store_bench.cpp
@@ -12,14 +12,14 @@
 #include "store/store.hpp"
 
 using namespace gorsemount;
-using recovery::Kind;
+using recovery::FactKind;
 
 namespace {
 
 double since(std::chrono::steady_clock::time_point begin) {
   return 1000 * std::chrono::duration<double>(std::chrono::steady_clock::now() - begin).count();
 }
-recovery::Clocks at(double s) {
+recovery::ClockReading at(double s) {
   return {"boot", static_cast<std::int64_t>(s * 1e6), static_cast<std::int64_t>(s * 1e6)};
 }
 
@@ -27,10 +27,10 @@
   recovery::Facts f;
   for (int k = 0; k < workers; ++k) {
     const std::string name = "worker-" + std::to_string(k);
-    f[{Kind::usual_rate, name}].figures["rate"] = 20;
-    f[{Kind::held_table, name}].figures["version"] = 7;
+    f[{FactKind::usual_rate, name}].figures["rate"] = 20;
+    f[{FactKind::held_table, name}].figures["version"] = 7;
     if (k % 20 != 0) continue;
-    auto& ladder = f[{Kind::backend_ladder, name}];
+    auto& ladder = f[{FactKind::backend_ladder, name}];
     ladder.instance = "10.0.0.1:9000";
     ladder.figures = {{"share", chance() % 10 == 0 ? 0.5 + 0.001 * now : 0.5},
                       {"falling", 0},
@@ -46,10 +46,10 @@
 void write_down(int workers, const std::string& folder) {
   std::filesystem::remove_all(folder);
   std::mt19937 chance{1};
-  const auto disk = store::open_folder(folder);
+  const auto disk = store::open_directory(folder);
   store::StoreSettings s;
-  s.who = "bench";
-  recovery::Knowledge known;
+  s.owner = "bench";
+  recovery::FactLog known;
   store::Store out{*disk, s, at(0), {}};
   double worst = 0, slowest = 0;
   std::uint64_t written = 0;
@@ -61,7 +61,7 @@
     worst = std::max(worst, since(begin));
     out.sync();
     slowest = std::max(slowest, since(begin));
-    written = known.last();
+    written = known.last_sequence();
   }
   const auto begin = std::chrono::steady_clock::now();
   const auto loaded = store::load(*disk, s, at(30));
@@ -84,7 +84,7 @@
   s.cold_for = Span::seconds(10), s.cold_from = 0.2;
   s.tip_multiple = 3, s.lifetime_most = Span::seconds(5), s.group_idle = Span::seconds(60), s.lines_most = 16,
   s.addresses_most = 2;
-  coordinator::Coordinator core{s, coordinator::module_of(s)};
+  coordinator::Coordinator core{s, coordinator::policy_decision_maker(s)};
   std::vector<coordinator::RosterEntry> roster;
   for (int k = 0; k < workers; ++k) {
     coordinator::RosterEntry e;
@@ -92,9 +92,9 @@
     e.at = {{}, static_cast<std::uint16_t>(1024 + k)};
     roster.push_back(e);
   }
-  static_cast<void>(core.step(Instant::at_seconds(1), {coordinator::RosterHeard{roster}}));
+  static_cast<void>(core.step(Instant::at_seconds(1), {coordinator::RosterUpdate{roster}}));
   for (int k = 0; k < 30; ++k)
-    static_cast<void>(core.step(Instant::at_seconds(3 + 0.2 * k), {coordinator::LookedUp{ProxyId{0}}}));
+    static_cast<void>(core.step(Instant::at_seconds(3 + 0.2 * k), {coordinator::GroupLookup{ProxyId{0}}}));
   std::vector<double> took;
   for (int k = 0; k < 2000; ++k) {
     const auto begin = std::chrono::steady_clock::now();
--- a/src/app/coordinator.cpp
+++ b/src/app/coordinator.cpp
@@ -72,7 +72,7 @@
       instance_.handle_list(*config_.known, true);
       watch_.resume_from(config_.known->version);
     }
-    if (!config_.settings.ask_for_list) watch_.subscribe();
+    if (!config_.settings.explicit_subscription) watch_.subscribe();
     step();
     log_.event(log::Level::info, "started",
                {{"name", config_.name},
@@ -117,7 +117,7 @@
     log_.event(log::Level::warning, "watch_lost",
                {{"why", why}, {"version", std::to_string(watch_.version())}});
     if (stopping_) return;
-    if (config_.settings.ask_for_list) {  // the module says when to ask again
+    if (config_.settings.explicit_subscription) {  // the module says when to ask again
       instance_.handle_list_failure();
       schedule();
     } else {
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -12,7 +12,7 @@
 #include "app/records.hpp"
 #include "app/roster_file.hpp"
 #include "app/store.hpp"
-#include "background/background.hpp"
+#include "background/executor.hpp"
 #include "cluster/cluster.hpp"
 #include "config/settings.hpp"
 #include "coordinator/baseline.hpp"
@@ -21,13 +21,13 @@
 #include "hears/prober.hpp"
 #include "log/log.hpp"
 #include "net/loop.hpp"
-#include "peers/links.hpp"
+#include "peers/peer_transport.hpp"
 #include "record/recorder.hpp"
-#include "recovery/belief.hpp"
+#include "recovery/fact_confidence.hpp"
 #include "runtime_api/command_server.hpp"
 #include "runtime_api/operators.hpp"
-#include "shared_fleet/part.hpp"
-#include "store/keeper.hpp"
+#include "shared_fleet/cluster_adapter.hpp"
+#include "store/store_writer.hpp"
 
 namespace gorsemount::app {
 
@@ -57,7 +57,7 @@
 runtime_api::DriverSettings driver_settings(const ServeSettings& s) {
   runtime_api::DriverSettings d;
   for (std::size_t k = 0; k < s.core.forwarders.size(); ++k)
-    d.targets.push_back({ProxyId{static_cast<std::uint16_t>(coordinator::kFirstForwarder + k)},
+    d.targets.push_back({ProxyId{static_cast<std::uint16_t>(coordinator::kFirstForwarderId + k)},
                          s.core.forwarders[k].name, s.runtime.forwarders[k].at,
                          s.runtime.forwarders[k].path});
   for (const auto& op : s.core.operations) d.operations.push_back(op.name);
@@ -78,7 +78,8 @@
         options_{std::move(options)},
         log_{s_.name, s_.log_level, s_.log_file},
         records_{s_.records_file, s_.name},
-        core_{s_.core, options_.fixed ? coordinator::fixed_weights() : coordinator::module_of(s_.core)},
+        core_{s_.core,
+              options_.fixed ? coordinator::fixed_weights() : coordinator::policy_decision_maker(s_.core)},
         roster_{s_.core, s_.roster_file},
         front_{front_settings(s_), core_.group_map()},
         prober_{loop_,
@@ -89,18 +90,18 @@
         driver_{loop_,
                 driver_settings(s_),
                 {[this](Input input) { take(std::move(input)); },
-                 [this](const std::string& name) { return core_.id_of(name); },
+                 [this](const std::string& name) { return core_.backend_id(name); },
                  [this](bool warning, const std::string& event, const log::Fields& fields) {
                    say(warning, event, fields);
                  },
                  [this](ProxyId id) {
-                   return !cluster_ || cluster_->leads(shard_of(id), net::monotonic_now()).has_value();
+                   return !cluster_ || cluster_->held_term(shard_of(id), net::monotonic_now()).has_value();
                  },
                  [this](ProxyId id, std::uint64_t version, Span took, std::size_t changes) {
                    records_.in_force(id, version, took, changes);
                  },
                  [this](ProxyId id, std::uint64_t term) {
-                   if (cluster_) cluster_->learn(net::monotonic_now(), shard_of(id), {term});
+                   if (cluster_) cluster_->observe_term(net::monotonic_now(), shard_of(id), {term});
                  }}} {}
 
   int run() {
@@ -145,10 +146,10 @@
                 {"steps", std::to_string(c.steps)},
                 {"orders", std::to_string(c.orders)},
                 {"messages", std::to_string(c.messages)},
-                {"held_back", std::to_string(c.held_back)},
-                {"most_waiting", fmt::format("{:.0f}", c.most_waiting)},
-                {"cut_unasked", std::to_string(c.cut_unasked)},
-                {"stood_in", std::to_string(c.stood_in)}});
+                {"held_back", std::to_string(c.deferred_messages)},
+                {"most_waiting", fmt::format("{:.0f}", c.peak_backlog)},
+                {"cut_unasked", std::to_string(c.filtered_lines)},
+                {"stood_in", std::to_string(c.fallback_views)}});
     return kWell;
   }
 
@@ -167,7 +168,7 @@
     Instant& last = seen_[group.value];
     if (loop_.now() - last < kSeenEvery) return;
     last = loop_.now();
-    take(coordinator::LookedUp{group});
+    take(coordinator::GroupLookup{group});
   }
 
   void say(bool warning, const std::string& event, const log::Fields& fields) {
@@ -180,25 +181,26 @@
     if (s_.store_folder.empty()) return;
     try {
       store::StoreSettings settings;
-      settings.who = s_.name;
+      settings.owner = s_.name;
       if (!s_.store_key_file.empty()) settings.key = read_store_key(s_.store_key_file);
-      auto disk = store::open_folder(s_.store_folder);
+      auto disk = store::open_directory(s_.store_folder);
       const auto clocks = read_clocks();
       const auto loaded = store::load(*disk, settings, clocks);
       for (const auto& fault : loaded.faults)
         log_.event(log::Level::warning, "store_passed_over", {{"what", fault}});
-      recovery::Believed believed;
-      if (loaded.confirmed)
-        believed =
-            recovery::believe(loaded.entries, *loaded.confirmed, Instant{} + Span::micros(clocks.mono));
-      log_.event(log::Level::info, loaded.blank.empty() ? "store_read" : "store_blank",
-                 {{"facts", std::to_string(believed.acts.size())},
-                  {"hints", std::to_string(loaded.entries.size() - believed.acts.size())},
-                  {"age", loaded.age.span ? config::span_text(*loaded.age.span) : "unknown"},
-                  {"clocks", loaded.age.doubt},
-                  {"why", loaded.blank}});
-      std::vector<recovery::Entry> first = believed.acts;
-      if (!believed.acts.empty()) inputs_.emplace_back(coordinator::Recalled{std::move(believed.acts), true});
+      recovery::TrustedFacts believed;
+      if (loaded.confirmed_at)
+        believed = recovery::select_trusted(loaded.entries, *loaded.confirmed_at,
+                                            Instant{} + Span::micros(clocks.monotonic_us));
+      log_.event(log::Level::info, loaded.empty_reason.empty() ? "store_read" : "store_blank",
+                 {{"facts", std::to_string(believed.applicable.size())},
+                  {"hints", std::to_string(loaded.entries.size() - believed.applicable.size())},
+                  {"age", loaded.age.elapsed ? config::span_text(*loaded.age.elapsed) : "unknown"},
+                  {"clocks", loaded.age.clock_anomaly},
+                  {"why", loaded.empty_reason}});
+      std::vector<recovery::Entry> first = believed.applicable;
+      if (!believed.applicable.empty())
+        inputs_.emplace_back(coordinator::FactsReceived{std::move(believed.applicable), true});
       std::uint64_t sequence = 0;
       for (auto& e : first) e.sequence = ++sequence;
       keeper_.emplace(*background_, std::move(disk), std::move(settings), std::move(first), read_clocks,
@@ -212,7 +214,7 @@
   }
   void keep() {
     loop_.after(kTell, [this] {
-      keeper_->keep(core_.facts());
+      keeper_->submit(core_.facts());
       keep();
     });
   }
@@ -249,7 +251,7 @@
           throw std::runtime_error{s_.runtime.token_file + ": expected a token of 16 characters or more"};
       }
       operators_.emplace(
-          core_, [this](const coordinator::PersonOrders& order) { return ordered(order); },
+          core_, [this](const coordinator::OperatorCommand& order) { return ordered(order); },
           [this] { return driver_.status(); }, token);
       operators_->at_work([this] { return work_rows(); });
       const auto serve = [this](std::unique_ptr<runtime_api::CommandServer>& to, bool trusted) {
@@ -278,10 +280,10 @@
     for (const auto& c : background_->counters())
       rows.push_back({{"task", c.name},
                       {"runs", std::to_string(c.runs)},
-                      {"pieces", std::to_string(c.pieces)},
-                      {"longest_ms", ms(c.longest)},
-                      {"latest_ms", ms(c.latest)},
-                      {"all_s", fmt::format("{:.3f}", c.all.seconds())},
+                      {"pieces", std::to_string(c.steps)},
+                      {"longest_ms", ms(c.longest_step)},
+                      {"latest_ms", ms(c.max_delay)},
+                      {"all_s", fmt::format("{:.3f}", c.run_time.seconds())},
                       {"bytes", std::to_string(c.bytes)}});
     return rows;
   }
@@ -293,7 +295,7 @@
     if (c.members.empty()) return true;
     try {
       std::vector<hcl::Fault> faults;
-      auto keys = cluster::read_keys(config::read_file(c.key_file, faults));
+      auto keys = cluster::parse_keys(config::read_file(c.key_file, faults));
       cluster::ClusterSettings settings;
       std::map<cluster::MemberId, Endpoint> others;
       Endpoint own;
@@ -310,14 +312,14 @@
       const auto wall = static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(
                                                        std::chrono::system_clock::now().time_since_epoch())
                                                        .count());
-      settings.shards = static_cast<std::size_t>(c.shards), settings.floor = {wall};
-      settings.lease.length = c.lease, settings.lease.drift = c.drift;
-      settings.lease.renew_before = c.lease * 0.67, settings.lease.ask_again = c.lease * 0.1;
+      settings.shards = static_cast<std::size_t>(c.shards), settings.term_floor = {wall};
+      settings.lease.duration = c.lease, settings.lease.max_clock_drift = c.drift;
+      settings.lease.renew_before = c.lease * 0.67, settings.lease.retry_interval = c.lease * 0.1;
       settings.seed = s_.core.seed + settings.self.value;
       frames_.emplace(settings.self, wall, std::move(keys));
       cluster_.emplace(std::move(settings), net::monotonic_now());
       part_.emplace(*cluster_);
-      links_ = std::make_unique<peers::Links>(
+      links_ = std::make_unique<peers::PeerTransport>(
           loop_, *frames_, own, std::move(others),
           [this](const cluster::Message& m) {
             cluster_->receive(net::monotonic_now(), m);
@@ -350,16 +352,16 @@
     runtime_api::Operators::Rows rows;
     for (std::size_t k = 0; k < s_.cluster.members.size(); ++k) {
       const auto& [name, at] = s_.cluster.members[k];
-      const auto standing = cluster_->standing({static_cast<std::uint16_t>(k)});
+      const auto standing = cluster_->state_of({static_cast<std::uint16_t>(k)});
       rows.push_back({{"kind", "member"},
                       {"name", name},
                       {"standing", standings[static_cast<std::size_t>(standing)]},
                       {"at", at.text()},
                       {"term", name == s_.cluster.member ? "self" : "-"}});
     }
-    for (const auto& [id, term] : part_->led())
+    for (const auto& [id, term] : part_->forwarder_terms())
       rows.push_back({{"kind", "forwarder"},
-                      {"name", s_.core.forwarders[id.value - coordinator::kFirstForwarder].name},
+                      {"name", s_.core.forwarders[id.value - coordinator::kFirstForwarderId].name},
                       {"standing", term ? "led here" : "led elsewhere"},
                       {"at", "shard " + std::to_string(shard_of(id).value)},
                       {"term", term ? std::to_string(term->value) : "-"}});
@@ -373,18 +375,18 @@
     // asks anew.
     cluster_wake_ = loop_.at(std::min(cluster_->wake_at(), loop_.now() + Span::seconds(0.05)),
                              [this] { tick_cluster(); });
-    follow(part_->look(net::monotonic_now(), s_.core));
+    follow(part_->poll_leadership(net::monotonic_now(), s_.core));
   }
 
-  void follow(shared_fleet::Turn turn) {
+  void follow(shared_fleet::ClusterUpdate turn) {
     if (turn.recalled > 0)
       log_.event(log::Level::info, "recalled", {{"facts", std::to_string(turn.recalled)}});
     for (auto& input : turn.inputs) take(std::move(input));
-    for (const auto& lead : turn.leads) {
+    for (const auto& lead : turn.lead_changes) {
       if (lead.now.has_value() != lead.before.has_value())
         log_.event(
             log::Level::info, lead.now ? "leads" : "leads_no_more",
-            {{"forwarder", s_.core.forwarders[lead.forwarder.value - coordinator::kFirstForwarder].name},
+            {{"forwarder", s_.core.forwarders[lead.forwarder.value - coordinator::kFirstForwarderId].name},
              {"term", std::to_string((lead.now ? lead.now : lead.before)->value)}});
       driver_.lead(lead.forwarder, lead.now ? std::optional{lead.now->value} : std::nullopt);
     }
@@ -393,12 +395,12 @@
   // What this one knows goes to the others; what they know and what acts at once goes to the core.
   void tell_cluster() {
     bool changed = false;
-    follow(part_->tell(net::monotonic_now(), core_, changed));
+    follow(part_->exchange_facts(net::monotonic_now(), core_, changed));
     if (changed) tick_cluster();
     loop_.after(kTell, [this] { tell_cluster(); });
   }
 
-  std::string ordered(const coordinator::PersonOrders& order) {
+  std::string ordered(const coordinator::OperatorCommand& order) {
     inputs_.emplace_back(order);
     step();
     return answers_.empty() ? "" : answers_.back();
@@ -412,11 +414,11 @@
     if (effects.published) front_.publish(effects.published, core_.group_map());
     for (const auto& m : effects.messages) records_.message(m);
     for (const auto& d : effects.deliveries) driver_.deliver(d.forwarder, d.table);
-    answers_ = effects.answers;
-    for (const auto& n : effects.notes)
-      say(n.weight == coordinator::Note::Weight::warning, n.event, n.fields);
+    answers_ = effects.command_results;
+    for (const auto& n : effects.log_events)
+      say(n.severity == coordinator::LogEvent::Severity::warning, n.event, n.fields);
     loop_.cancel(wake_);
-    wake_ = loop_.at(effects.wake_at, [this] { step(); });
+    wake_ = loop_.at(effects.next_wakeup, [this] { step(); });
   }
 
   // A bad file changes nothing, and is named once.
@@ -427,11 +429,11 @@
     const std::size_t n = look.entries->size();
     std::vector<std::pair<std::string, Endpoint>> names;
     for (const auto& e : *look.entries) names.emplace_back(e.name, e.at);
-    inputs_.emplace_back(coordinator::RosterHeard{std::move(*look.entries)});
+    inputs_.emplace_back(coordinator::RosterUpdate{std::move(*look.entries)});
     step();
     std::map<BackendId, Endpoint> asked;
     for (const auto& [name, at] : names)
-      if (const auto id = core_.id_of(name)) asked[*id] = at;
+      if (const auto id = core_.backend_id(name)) asked[*id] = at;
     if (!options_.fixed) prober_.follow(asked);  // a plain zone file asks nobody
     log_.event(log::Level::info, "roster_read", {{"backends", std::to_string(n)}});
   }
@@ -444,7 +446,7 @@
       if (look.entries || !look.faults.empty())
         loop_.post(
             [this, look = std::make_shared<RosterFile::Look>(std::move(look))] { heed(std::move(*look)); });
-      return background::Piece{n, true};
+      return background::StepResult{n, true};
     });
   }
 
@@ -467,7 +469,7 @@
     if (frames_) {
       // Keys rotate without a stop: all of the new ring open, its last one seals.
       try {
-        frames_->set_keys(cluster::read_keys(config::read_file(s_.cluster.key_file, faults)));
+        frames_->set_keys(cluster::parse_keys(config::read_file(s_.cluster.key_file, faults)));
         log_.event(log::Level::info, "keys_read", {{"file", s_.cluster.key_file}});
       } catch (const std::exception& fault) {
         log_.event(log::Level::warning, "reload_refused", {{"why", fault.what()}});
@@ -479,13 +481,13 @@
     s_.core.groups = fresh.core.groups, s_.core.trusted_resolvers = fresh.core.trusted_resolvers;
     s_.core.lifetime_most = fresh.core.lifetime_most, s_.core.group_idle = fresh.core.group_idle;
     seen_.assign(s_.core.groups.size(), {});
-    if (part_) part_->forget_groups();
-    inputs_.emplace_back(coordinator::Retuned{s_.core});
+    if (part_) part_->reset_groups();
+    inputs_.emplace_back(coordinator::SettingsReloaded{s_.core});
     step();
     roster_.follow(s_.roster_file);
     background_->remove(roster_task_);
     watch_roster();
-    background_->ask_for(roster_task_);
+    background_->request_run(roster_task_);
     log_.event(log::Level::info, "reloaded", {{"groups", std::to_string(s_.core.groups.size())}});
   }
 
@@ -515,13 +517,13 @@
   std::vector<Input> inputs_;
   std::vector<Instant> seen_;
   std::vector<std::string> answers_;
-  std::optional<cluster::Frames> frames_;
+  std::optional<cluster::FrameCodec> frames_;
   std::optional<cluster::Cluster> cluster_;
-  std::unique_ptr<peers::Links> links_;
-  std::optional<shared_fleet::Part> part_;
-  std::optional<background::Background> background_;  // outlives those who work in it
+  std::unique_ptr<peers::PeerTransport> links_;
+  std::optional<shared_fleet::ClusterAdapter> part_;
+  std::optional<background::Executor> background_;  // outlives those who work in it
   std::optional<record::Recorder> recorder_;
-  std::optional<store::Keeper> keeper_;
+  std::optional<store::StoreWriter> keeper_;
   net::Loop::Timer cluster_wake_;
   runtime_api::Driver driver_;
   std::optional<runtime_api::Operators> operators_;
--- a/src/app/store.hpp
+++ b/src/app/store.hpp
@@ -13,7 +13,7 @@
 [[nodiscard]] int store_tool(const StoreOptions& options);
 
 // One line of 64 hex digits. Throws std::runtime_error.
-[[nodiscard]] store::Key read_store_key(const std::string& file);
-[[nodiscard]] recovery::Clocks read_clocks();
+[[nodiscard]] store::MacKey read_store_key(const std::string& file);
+[[nodiscard]] recovery::ClockReading read_clocks();
 
 }  // namespace gorsemount::app
--- a/src/background/background.cpp
+++ b/src/background/executor.cpp
@@ -1,4 +1,4 @@
-#include "background/background.hpp"
+#include "background/executor.hpp"
 
 #include <algorithm>
 #include <chrono>
@@ -12,12 +12,12 @@
 
 }  // namespace
 
-Background::Background(Clock clock) : clock_{std::move(clock)} {
+Executor::Executor(Clock clock) : clock_{std::move(clock)} {
   threads_.emplace_back([this] { run(Lane::prompt); });
   threads_.emplace_back([this] { run(Lane::common); });
 }
 
-Background::~Background() {
+Executor::~Executor() {
   {
     const std::lock_guard lock{lock_};
     stop_ = true;
@@ -26,7 +26,7 @@
   for (auto& t : threads_) t.join();
 }
 
-TaskId Background::add(Task task, Work work) {
+TaskId Executor::add(Task task, Work work) {
   TaskId id;
   {
     const std::lock_guard lock{lock_};
@@ -37,27 +37,27 @@
   return id;
 }
 
-void Background::ask_for(TaskId task) {
+void Executor::request_run(TaskId task) {
   {
     const std::lock_guard lock{lock_};
-    scheduler_.ask_for(task, clock_());
+    scheduler_.request_run(task, clock_());
   }
   changed_.notify_all();
 }
 
-void Background::remove(TaskId task) {
+void Executor::remove(TaskId task) {
   std::unique_lock lock{lock_};
   scheduler_.remove(task);
   changed_.wait(lock, [&] { return !scheduler_.running(task); });
   work_.at(task.value) = {};
 }
 
-std::vector<Scheduler::Counters> Background::counters() const {
+std::vector<Scheduler::Counters> Executor::counters() const {
   const std::lock_guard lock{lock_};
   return scheduler_.all();
 }
 
-void Background::run(Lane lane) {
+void Executor::run(Lane lane) {
   std::unique_lock lock{lock_};
   while (!stop_) {
     const Instant now = clock_();
@@ -70,7 +70,7 @@
     scheduler_.began(*task, now);
     const Work work = work_.at(task->value);
     lock.unlock();
-    const Piece piece = work();
+    const StepResult piece = work();
     lock.lock();
     const Instant end = clock_();
     scheduler_.ran(*task, end, end - now, piece.bytes, piece.done);
--- a/src/background/background.hpp
+++ b/src/background/executor.hpp
@@ -12,24 +12,24 @@
 
 namespace gorsemount::background {
 
-struct Piece {
+struct StepResult {
   std::uint64_t bytes = 0;
   bool done = true;  // else it is called again when its turn comes
 };
 
-class Background {
+class Executor {
  public:
   using Clock = std::function<Instant()>;
-  using Work = std::function<Piece()>;
-  explicit Background(Clock clock);
-  ~Background();  // all tasks are to be removed before
-  Background(const Background&) = delete;
-  Background& operator=(const Background&) = delete;
+  using Work = std::function<StepResult()>;
+  explicit Executor(Clock clock);
+  ~Executor();  // all tasks are to be removed before
+  Executor(const Executor&) = delete;
+  Executor& operator=(const Executor&) = delete;
 
   // `work` is called from a thread of ours, never from two at a time. What it throws ends the program: a task
   // knows best what a fault of its means.
   TaskId add(Task task, Work work);
-  void ask_for(TaskId task);
+  void request_run(TaskId task);
   // Never called again from here on; waits for a piece that is under way. Not from within the task's own
   // work.
   void remove(TaskId task);
--- a/src/background/scheduler.cpp
+++ b/src/background/scheduler.cpp
@@ -21,7 +21,7 @@
   return {static_cast<std::uint32_t>(rows_.size() - 1)};
 }
 
-void Scheduler::ask_for(TaskId task, Instant now) {
+void Scheduler::request_run(TaskId task, Instant now) {
   Row& r = row(task);
   if (r.asked) return;
   r.asked = true;
@@ -29,7 +29,7 @@
 }
 
 std::optional<Instant> Scheduler::ready(const Row& r) {
-  if (r.gone || r.running) return {};
+  if (r.removed || r.running) return {};
   if (!r.asked && !r.underway && r.task.every == Span{}) return {};
   return std::max(r.due, r.free_at);
 }
@@ -61,7 +61,7 @@
 
 void Scheduler::began(TaskId task, Instant now) {
   Row& r = row(task);
-  r.counters.latest = std::max(r.counters.latest, now - std::max(r.due, r.free_at));
+  r.counters.max_delay = std::max(r.counters.max_delay, now - std::max(r.due, r.free_at));
   r.running = true, r.asked = false;
 }
 
@@ -69,8 +69,8 @@
   Row& r = row(task);
   r.running = false, r.underway = !done;
   Counters& c = r.counters;
-  ++c.pieces, c.runs += done ? 1 : 0, c.bytes += bytes, c.longest = std::max(c.longest, took),
-                                                        c.all = c.all + took;
+  ++c.steps, c.runs += done ? 1 : 0, c.bytes += bytes, c.longest_step = std::max(c.longest_step, took),
+                                                       c.run_time = c.run_time + took;
   if (!done || r.asked) {
     r.due = now;
   } else {
@@ -94,7 +94,7 @@
 std::vector<Scheduler::Counters> Scheduler::all() const {
   std::vector<Counters> rows;
   for (const auto& r : rows_)
-    if (!r.gone) rows.push_back(r.counters);
+    if (!r.removed) rows.push_back(r.counters);
   return rows;
 }
 
--- a/src/background/scheduler.hpp
+++ b/src/background/scheduler.hpp
@@ -30,8 +30,8 @@
 class Scheduler {
  public:
   TaskId add(Task task, Instant now);
-  void remove(TaskId task) { row(task).gone = true; }
-  void ask_for(TaskId task, Instant now);
+  void remove(TaskId task) { row(task).removed = true; }
+  void request_run(TaskId task, Instant now);
   // Which is to run now; empty: none is due, or what is due has used up its budget or is running.
   [[nodiscard]] std::optional<TaskId> next(Instant now, Lane lane) const;
   void began(TaskId task, Instant now);
@@ -42,10 +42,10 @@
 
   struct Counters {
     std::string name;
-    std::uint64_t pieces = 0, runs = 0, bytes = 0;
-    Span longest;  // piece
-    Span latest;   // beyond when it was due, and had budget, till a piece began
-    Span all;      // time that it ran
+    std::uint64_t steps = 0, runs = 0, bytes = 0;
+    Span longest_step;  // piece
+    Span max_delay;     // beyond when it was due, and had budget, till a piece began
+    Span run_time;      // time that it ran
   };
   [[nodiscard]] Counters counters(TaskId task) const { return row(task).counters; }
   [[nodiscard]] std::vector<Counters> all() const;  // of those that are still there
@@ -54,7 +54,7 @@
   struct Row {
     Task task;
     Instant due, free_at;  // free_at: when its budgets are paid off
-    bool asked = false, underway = false, running = false, gone = false;
+    bool asked = false, underway = false, running = false, removed = false;
     Counters counters;
   };
   [[nodiscard]] Row& row(TaskId task) { return rows_.at(task.value); }
--- a/src/cluster/cluster.cpp
+++ b/src/cluster/cluster.cpp
@@ -12,7 +12,7 @@
   std::size_t n = 0;
   for (std::size_t k = 0; k < shards_; ++k) {
     const ShardId shard{static_cast<std::uint16_t>(k)};
-    if (!leases_.leads(shard, now)) continue;
+    if (!leases_.held_term(shard, now)) continue;
     leases_.hand_over(now, shard, std::nullopt);
     ++n;
   }
--- a/src/cluster/cluster.hpp
+++ b/src/cluster/cluster.hpp
@@ -17,7 +17,7 @@
   MembershipSettings membership;
   LeaseSettings lease;
   std::uint64_t seed = 0;
-  Term floor;  // see Leases
+  Term term_floor;  // see Leases
 };
 
 class Cluster {
@@ -25,9 +25,9 @@
   Cluster(ClusterSettings settings, Instant now)
       : shards_{settings.shards},
         membership_{settings.self, settings.members, settings.membership, settings.seed, now},
-        leases_{settings.self, settings.members, settings.shards, with_members(settings),
-                now,           settings.floor},
-        replication_{settings.self, settings.members, settings.floor.value} {}
+        leases_{settings.self, settings.members,   settings.shards, with_members(settings),
+                now,           settings.term_floor},
+        replication_{settings.self, settings.members, settings.term_floor.value} {}
 
   void receive(Instant now, const Message& message) {
     membership_.receive(now, message);
@@ -37,7 +37,7 @@
   [[nodiscard]] std::vector<Message> tick(Instant now) {
     auto out = membership_.tick(now);
     for (auto& m : leases_.tick(now, membership_.alive())) {
-      m.rumours = membership_.rumours();
+      m.updates = membership_.updates();
       out.push_back(std::move(m));
     }
     for (auto& m : replication_.tick(now)) out.push_back(std::move(m));
@@ -48,15 +48,15 @@
   }
 
   [[nodiscard]] ShardId shard_of(const std::string& forwarder) const;
-  [[nodiscard]] std::optional<Term> leads(ShardId shard, Instant now) const {
-    return leases_.leads(shard, now);
+  [[nodiscard]] std::optional<Term> held_term(ShardId shard, Instant now) const {
+    return leases_.held_term(shard, now);
   }
   [[nodiscard]] std::size_t shards() const { return shards_; }
-  [[nodiscard]] Standing standing(MemberId member) const { return membership_.standing(member); }
+  [[nodiscard]] MemberState state_of(MemberId member) const { return membership_.state_of(member); }
   void keep(bool on) { leases_.keep(on); }
   [[nodiscard]] Replication& knowledge() { return replication_; }
   [[nodiscard]] const Replication& knowledge() const { return replication_; }
-  void learn(Instant now, ShardId shard, Term term) { leases_.learn(now, shard, term); }
+  void observe_term(Instant now, ShardId shard, Term term) { leases_.observe_term(now, shard, term); }
   // Everything that it leads, to whoever is next; for a planned stop. Returns how many shards that were.
   std::size_t hand_over_all(Instant now);
 
--- a/src/cluster/frames.cpp
+++ b/src/cluster/frame_codec.cpp
@@ -1,4 +1,4 @@
-#include "cluster/frames.hpp"
+#include "cluster/frame_codec.hpp"
 
 #include <sodium.h>
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-// length u16 | key u8 | to u16 | from u16 | start u64 | counter u64 | kind u8 | body | rumours u8 | each 11 |
+// length u16 | key u8 | to u16 | from u16 | start u64 | counter u64 | kind u8 | body | updates u8 | each 11 |
 // MAC
 constexpr std::size_t kMac = crypto_auth_hmacsha512256_BYTES;
 constexpr std::size_t kHead = 2 + 1 + 2 + 2 + 8 + 8 + 1;
@@ -71,7 +71,7 @@
     out.put(static_cast<std::uint8_t>(vote->granted));
   }
   if (const auto* give = std::get_if<GiveUp>(&body)) out.put(give->shard.value), out.put(give->term.value);
-  if (const auto* news = std::get_if<News>(&body)) {
+  if (const auto* news = std::get_if<ReplicationBatch>(&body)) {
     out.put(news->start), out.put(news->from), out.put(news->upto), out.put(news->last);
     out.put(static_cast<std::uint64_t>(news->echo)), out.put(static_cast<std::uint16_t>(news->facts.size()));
     out.bytes += news->facts;
@@ -110,7 +110,7 @@
       return GiveUp{shard, Term{u64()}};
     }
     case 6: {
-      News news;
+      ReplicationBatch news;
       news.start = u64(), news.from = u64(), news.upto = u64(), news.last = u64();
       news.echo = static_cast<std::int64_t>(u64());
       news.facts = in.text(u16());
@@ -134,7 +134,7 @@
   return names[static_cast<std::size_t>(drop)];
 }
 
-std::vector<Key> read_keys(std::string_view text) {
+std::vector<Key> parse_keys(std::string_view text) {
   std::vector<Key> ring;
   std::istringstream in{std::string{text}};
   std::string line;
@@ -163,26 +163,27 @@
   return ring;
 }
 
-Frames::Frames(MemberId self, std::uint64_t start, std::vector<Key> ring) : self_{self}, start_{start} {
+FrameCodec::FrameCodec(MemberId self, std::uint64_t start, std::vector<Key> ring)
+    : self_{self}, start_{start} {
   if (sodium_init() < 0) throw std::runtime_error{"libsodium can't start"};
   set_keys(std::move(ring));
 }
 
-void Frames::set_keys(std::vector<Key> ring) {
+void FrameCodec::set_keys(std::vector<Key> ring) {
   if (ring.empty()) throw std::runtime_error{"a cluster needs a key"};
   ring_ = std::move(ring);
 }
 
-std::string Frames::seal(const Message& m) {
+std::string FrameCodec::seal(const Message& m) {
   Out out;
   out.put(std::uint16_t{0});
   out.put(ring_.back().number), out.put(m.to.value), out.put(self_.value), out.put(start_),
       out.put(++counter_);
   put_body(out, m.body);
-  const std::size_t n = std::min(m.rumours.size(), kRumoursMost);
+  const std::size_t n = std::min(m.updates.size(), kRumoursMost);
   out.put(static_cast<std::uint8_t>(n));
   for (std::size_t k = 0; k < n; ++k) {
-    const Rumour& r = m.rumours[k];
+    const MemberUpdate& r = m.updates[k];
     out.put(r.member.value), out.put(static_cast<std::uint8_t>(r.standing)), out.put(r.incarnation);
   }
   const std::size_t size = out.bytes.size() + kMac;
@@ -194,13 +195,13 @@
   return std::move(out.bytes);
 }
 
-std::optional<std::size_t> Frames::length(std::string_view bytes) {
+std::optional<std::size_t> FrameCodec::length(std::string_view bytes) {
   if (bytes.size() < 2) return {};
   return static_cast<std::size_t>(static_cast<std::uint8_t>(bytes[0])) << 8U |
          static_cast<std::uint8_t>(bytes[1]);
 }
 
-std::variant<Message, Drop> Frames::open(std::string_view frame) {
+std::variant<Message, Drop> FrameCodec::open(std::string_view frame) {
   const auto said = length(frame);
   if (said && *said > kFrameMost) return Drop::too_large;
   if (!said || *said != frame.size() || frame.size() < kHead + 1 + kMac) return Drop::cut_off;
@@ -225,13 +226,13 @@
   if (!body || n > kRumoursMost) return Drop::garbled;
   m.body = *body;
   for (std::size_t k = 0; k < n && !in.bad(); ++k) {
-    Rumour r;
+    MemberUpdate r;
     r.member = MemberId{in.get<std::uint16_t>()};
     const auto standing = in.get<std::uint8_t>();
     r.incarnation = in.get<std::uint64_t>();
     if (standing > 2) return Drop::garbled;
-    r.standing = static_cast<Standing>(standing);
-    m.rumours.push_back(r);
+    r.standing = static_cast<MemberState>(standing);
+    m.updates.push_back(r);
   }
   if (!in.whole()) return Drop::garbled;
   Seen& seen = seen_[m.from];
--- a/src/cluster/frames.hpp
+++ b/src/cluster/frame_codec.hpp
@@ -12,7 +12,7 @@
 #include <variant>
 #include <vector>
 
-#include "cluster/types.hpp"
+#include "cluster/messages.hpp"
 
 namespace gorsemount::cluster {
 
@@ -29,13 +29,13 @@
 
 // A key file: lines of `NUMBER HEX`, 64 hex digits each; the last line is the newest key. Comments begin with
 // #. Throws std::runtime_error with the line if it is none, or if a number is there twice.
-[[nodiscard]] std::vector<Key> read_keys(std::string_view text);
+[[nodiscard]] std::vector<Key> parse_keys(std::string_view text);
 
-class Frames {
+class FrameCodec {
  public:
   // `start`: differs between two lives of a member, and grows (the wall clock's milliseconds). Throws
   // std::runtime_error without a key.
-  Frames(MemberId self, std::uint64_t start, std::vector<Key> ring);
+  FrameCodec(MemberId self, std::uint64_t start, std::vector<Key> ring);
 
   void set_keys(std::vector<Key> ring);  // the last one seals; all of them open
   [[nodiscard]] std::string seal(const Message& message);
--- a/src/cluster/leases.cpp
+++ b/src/cluster/leases.cpp
@@ -51,18 +51,18 @@
 }
 
 Leases::Leases(MemberId self, std::vector<MemberId> others, std::size_t shards, LeaseSettings settings,
-               Instant now, Term floor)
+               Instant now, Term term_floor)
     : self_{self},
       others_{std::move(others)},
       shards_{shards},
       s_{settings},
-      silent_until_{now + settings.length * (1 + settings.drift)},
+      silent_until_{now + settings.duration * (1 + settings.max_clock_drift)},
       wake_{now} {
   std::erase(others_, self_);
-  for (std::size_t k = 0; k < shards_; ++k) highest_[ShardId{static_cast<std::uint16_t>(k)}] = floor;
+  for (std::size_t k = 0; k < shards_; ++k) highest_[ShardId{static_cast<std::uint16_t>(k)}] = term_floor;
 }
 
-void Leases::learn(Instant now, ShardId shard, Term term) {
+void Leases::observe_term(Instant now, ShardId shard, Term term) {
   if (shard.value >= shards_) return;
   Term& seen = highest_[shard];
   if (term <= seen) return;
@@ -78,7 +78,7 @@
   return it == highest_.end() ? Term{} : it->second;
 }
 
-std::optional<Term> Leases::leads(ShardId shard, Instant now) const {
+std::optional<Term> Leases::held_term(ShardId shard, Instant now) const {
   const auto it = held_.find(shard);
   if (it == held_.end() || now >= it->second.until) return {};
   return it->second.term;
@@ -97,19 +97,20 @@
   const bool may =
       now >= silent_until_ && ((bound && same) || (!bound && (term > seen || (same && term == seen))));
   seen = std::max(seen, term);
-  if (may) promises_[shard] = {term, to, now + s_.length * (1 + s_.drift)};
+  if (may) promises_[shard] = {term, to, now + s_.duration * (1 + s_.max_clock_drift)};
   return may;
 }
 
 void Leases::won(ShardId shard, const Asking& asking) {
   // From when it asked: every voter granted later than that, and keeps its word for longer.
-  held_[shard] = {asking.term, asking.sent + s_.length * (1 - s_.drift)};
+  held_[shard] = {asking.term, asking.sent + s_.duration * (1 - s_.max_clock_drift)};
 }
 
 void Leases::ask(Instant now, ShardId shard, bool renewal) {
   Asking asking;
   asking.term = renewal ? held_.at(shard).term : Term{highest(shard).value + 1};
-  asking.number = ++number_, asking.sent = now, asking.again = now + s_.ask_again, asking.renewal = renewal;
+  asking.number = ++number_, asking.sent = now, asking.again = now + s_.retry_interval,
+  asking.renewal = renewal;
   if (grant(now, shard, asking.term, self_)) asking.granted.insert(self_);
   for (const auto other : others_) send(other, AskVote{shard, asking.term, asking.number});
   if (asking.granted.size() * 2 > s_.members) won(shard, asking);
@@ -148,7 +149,7 @@
   const Term term = it->second.term;
   held_.erase(it);
   asking_.erase(shard);
-  handed_[shard] = {to, now + s_.length * kStandBack};
+  handed_[shard] = {to, now + s_.duration * kStandBack};
   // Its word to itself and the others' word to it end here: nothing more is ordered under this term.
   if (const auto own = promises_.find(shard); own != promises_.end() && own->second.holder == self_)
     own->second.until = now;
@@ -167,7 +168,7 @@
   std::vector<MemberId> rest = alive;
   std::erase_if(rest, [&](MemberId m) { return silent.contains(m); });
   const auto next = silent.empty() ? wanted : assignment(shards_, rest);
-  wake_ = now + s_.ask_again;
+  wake_ = now + s_.retry_interval;
   for (std::size_t k = 0; k < shards_; ++k) {
     const ShardId shard{static_cast<std::uint16_t>(k)};
     const auto held = held_.find(shard);
@@ -182,7 +183,7 @@
       // off.
       if (!mine && !keep_ && now >= next_move_ && now_held->second.until - now < s_.renew_before) {
         hand_over(now, shard, wanted.at(shard));
-        next_move_ = now + s_.length * kMoveEvery;
+        next_move_ = now + s_.duration * kMoveEvery;
         continue;
       }
       if (now_held->second.until - now < s_.renew_before) ask(now, shard, true);
--- a/src/cluster/leases.hpp
+++ b/src/cluster/leases.hpp
@@ -9,15 +9,15 @@
 #include <set>
 #include <vector>
 
-#include "cluster/types.hpp"
+#include "cluster/messages.hpp"
 
 namespace gorsemount::cluster {
 
 struct LeaseSettings {
-  Span length = Span::seconds(3);
-  double drift = 0.01;                   // how far any two clocks' rates may be apart
+  Span duration = Span::seconds(3);
+  double max_clock_drift = 0.01;         // how far any two clocks' rates may be apart
   Span renew_before = Span::seconds(2);  // the end: asked for again from then on
-  Span ask_again = Span::seconds(0.3);
+  Span retry_interval = Span::seconds(0.3);
   std::size_t members = 1;  // by the settings; a majority is of these
 };
 
@@ -32,14 +32,14 @@
  public:
   // `floor`: no term of its own is at or below it. It comes from what outlives the process, or from the wall
   // clock (milliseconds, far ahead of any count of elections), so that terms grow even if all members restart
-  // at once; learn() mends a clock that went back. A voter that starts grants nothing for a lease's length,
-  // since it may have given its word to somebody before.
+  // at once; observe_term() mends a clock that went back. A voter that starts grants nothing for a lease's
+  // length, since it may have given its word to somebody before.
   Leases(MemberId self, std::vector<MemberId> others, std::size_t shards, LeaseSettings settings, Instant now,
-         Term floor);
+         Term term_floor);
 
   // A forwarder has seen this term: nothing lower will be obeyed, so a leader with a lower one stands back
   // and is elected anew above it.
-  void learn(Instant now, ShardId shard, Term term);
+  void observe_term(Instant now, ShardId shard, Term term);
 
   void receive(Instant now, const Message& message);
   // `alive`: as the membership has it. Messages to send.
@@ -48,7 +48,7 @@
 
   // The term with which it may order now; empty: it may not. A process that stood still finds out here, since
   // the time is asked for with each order.
-  [[nodiscard]] std::optional<Term> leads(ShardId shard, Instant now) const;
+  [[nodiscard]] std::optional<Term> held_term(ShardId shard, Instant now) const;
   [[nodiscard]] Term highest(ShardId shard) const;
   // Hands a shard over: it orders nothing more in it from now on, and leaves it to `to` for a while.
   void hand_over(Instant now, ShardId shard, std::optional<MemberId> to);
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -28,7 +28,7 @@
     return std::find(others.begin(), others.end(), row.first) == others.end();
   });
   // Unknown is alive at incarnation 0: whatever it says of itself counts for more.
-  for (const auto member : others) rows_.try_emplace(member, Row{Standing::alive, 0, now, 0});
+  for (const auto member : others) rows_.try_emplace(member, Row{MemberState::alive, 0, now, 0});
   if (probe_ && !rows_.contains(probe_->of)) probe_.reset();
   order_.clear(), next_ = 0;
 }
@@ -42,16 +42,16 @@
          (s_.suspect_rounds * std::max(1.0, std::log2(static_cast<double>(rows_.size()) + 1)));
 }
 
-Standing Membership::standing(MemberId member) const {
-  if (member == self_) return Standing::alive;
+MemberState Membership::state_of(MemberId member) const {
+  if (member == self_) return MemberState::alive;
   const auto it = rows_.find(member);
-  return it == rows_.end() ? Standing::gone : it->second.standing;
+  return it == rows_.end() ? MemberState::gone : it->second.standing;
 }
 
 std::vector<MemberId> Membership::alive() const {
   std::vector<MemberId> members{self_};
   for (const auto& [member, row] : rows_)
-    if (row.standing != Standing::gone) members.push_back(member);
+    if (row.standing != MemberState::gone) members.push_back(member);
   std::sort(members.begin(), members.end());
   return members;
 }
@@ -60,14 +60,14 @@
   if (const auto it = rows_.find(member); it != rows_.end()) it->second.tells = tellings();
 }
 
-std::vector<Rumour> Membership::rumours() {
+std::vector<MemberUpdate> Membership::updates() {
   // The least told first, so that fresh news goes out before old.
   std::vector<std::pair<int, MemberId>> due;
   for (const auto& [member, row] : rows_)
     if (row.tells > 0) due.emplace_back(-row.tells, member);
   std::sort(due.begin(), due.end());
-  std::vector<Rumour> told;
-  if (self_tells_ > 0) --self_tells_, told.push_back({self_, Standing::alive, incarnation_});
+  std::vector<MemberUpdate> told;
+  if (self_tells_ > 0) --self_tells_, told.push_back({self_, MemberState::alive, incarnation_});
   for (const auto& [tells, member] : due) {
     if (told.size() >= kRumours) break;
     Row& row = rows_.at(member);
@@ -77,11 +77,11 @@
   return told;
 }
 
-void Membership::hear(Instant now, const std::vector<Rumour>& rumours) {
-  for (const auto& r : rumours) {
+void Membership::hear(Instant now, const std::vector<MemberUpdate>& updates) {
+  for (const auto& r : updates) {
     if (r.member == self_) {
       // Somebody takes us for dead: a higher incarnation, which only we may say, ends that.
-      if (r.standing != Standing::alive) {
+      if (r.standing != MemberState::alive) {
         incarnation_ = std::max(incarnation_, r.incarnation + 1);
         self_tells_ = tellings();  // also if it was said before: what was said may have reached nobody
       }
@@ -103,15 +103,15 @@
 
 void Membership::receive(Instant now, const Message& m) {
   if (!rows_.contains(m.from)) return;
-  hear(now, m.rumours);
+  hear(now, m.updates);
   if (const auto* ping = std::get_if<Ping>(&m.body)) {
     send(m.from, Ack{ping->number});
     // It asks, so it runs; if we think otherwise it hears of that on the answer.
-    if (rows_.at(m.from).standing != Standing::alive) say(m.from);
+    if (rows_.at(m.from).standing != MemberState::alive) say(m.from);
   } else if (const auto* ack = std::get_if<Ack>(&m.body)) {
     if (probe_ && probe_->number == ack->number) {
       // An answer proves the path, and the process; a suspicion is for its incarnation to end.
-      if (rows_.at(probe_->of).standing != Standing::alive) say(probe_->of);
+      if (rows_.at(probe_->of).standing != MemberState::alive) say(probe_->of);
       probe_.reset();
     }
     for (const auto& errand : errands_)
@@ -130,22 +130,22 @@
     probe_->helped = true;
     std::vector<MemberId> helpers;
     for (const auto& [member, row] : rows_)
-      if (member != probe_->of && row.standing == Standing::alive) helpers.push_back(member);
+      if (member != probe_->of && row.standing == MemberState::alive) helpers.push_back(member);
     std::shuffle(helpers.begin(), helpers.end(), chance_);
     helpers.resize(std::min(helpers.size(), static_cast<std::size_t>(s_.helpers)));
     for (const auto helper : helpers) send(helper, PingFor{probe_->of, probe_->number});
   }
   if (probe_ && now >= probe_->ends) {
     Row& row = rows_.at(probe_->of);
-    if (row.standing == Standing::alive) {
-      row.standing = Standing::suspected, row.since = now;
+    if (row.standing == MemberState::alive) {
+      row.standing = MemberState::suspected, row.since = now;
       say(probe_->of);
     }
     probe_.reset();
   }
   for (auto& [member, row] : rows_)
-    if (row.standing == Standing::suspected && now - row.since >= patience()) {
-      row.standing = Standing::gone, row.since = now;
+    if (row.standing == MemberState::suspected && now - row.since >= patience()) {
+      row.standing = MemberState::gone, row.since = now;
       say(member);
     }
   if (now >= next_ping_ && !rows_.empty()) {
@@ -164,12 +164,12 @@
     }
   }
   for (auto& m : out_)
-    if (m.rumours.empty()) {
-      m.rumours = rumours();
+    if (m.updates.empty()) {
+      m.updates = updates();
       // One that we do not hold for alive must hear so, whatever else is to be told.
       const auto it = rows_.find(m.to);
-      if (it != rows_.end() && it->second.standing != Standing::alive)
-        m.rumours.push_back({m.to, it->second.standing, it->second.incarnation});
+      if (it != rows_.end() && it->second.standing != MemberState::alive)
+        m.updates.push_back({m.to, it->second.standing, it->second.incarnation});
     }
   return std::exchange(out_, {});
 }
@@ -179,7 +179,7 @@
   Instant next = rows_.empty() ? Instant{} + Span::micros(INT64_MAX) : next_ping_;
   if (probe_) next = std::min(next, probe_->helped ? probe_->ends : probe_->sent + s_.answer_within);
   for (const auto& [member, row] : rows_)
-    if (row.standing == Standing::suspected) next = std::min(next, row.since + patience());
+    if (row.standing == MemberState::suspected) next = std::min(next, row.since + patience());
   return next;
 }
 
--- a/src/cluster/membership.hpp
+++ b/src/cluster/membership.hpp
@@ -8,7 +8,7 @@
 #include <random>
 #include <vector>
 
-#include "cluster/types.hpp"
+#include "cluster/messages.hpp"
 
 namespace gorsemount::cluster {
 
@@ -29,19 +29,19 @@
   [[nodiscard]] std::vector<Message> tick(Instant now);
   [[nodiscard]] Instant wake_at() const;
 
-  [[nodiscard]] Standing standing(MemberId member) const;
+  [[nodiscard]] MemberState state_of(MemberId member) const;
   [[nodiscard]] std::vector<MemberId> alive() const;  // self among them, sorted
   [[nodiscard]] std::uint64_t incarnation() const { return incarnation_; }
   // Rumours to put on another module's message.
-  [[nodiscard]] std::vector<Rumour> rumours();
-  void hear(Instant now, const std::vector<Rumour>& rumours);
+  [[nodiscard]] std::vector<MemberUpdate> updates();
+  void hear(Instant now, const std::vector<MemberUpdate>& updates);
 
   // The list of members itself changes by the settings only.
   void set_members(Instant now, std::vector<MemberId> others);
 
  private:
   struct Row {
-    Standing standing = Standing::alive;
+    MemberState standing = MemberState::alive;
     std::uint64_t incarnation = 0;
     Instant since;
     int tells = 0;  // how often its rumour is still to be told
--- a/src/cluster/types.hpp
+++ b/src/cluster/messages.hpp
@@ -17,15 +17,15 @@
 // A fencing token: of two that believe to lead a shard, the one with the higher term is the later one.
 using Term = Id<struct TermTag, std::uint64_t>;
 
-enum class Standing : std::uint8_t { alive = 0, suspected = 1, gone = 2 };
+enum class MemberState : std::uint8_t { alive = 0, suspected = 1, gone = 2 };
 
 // What is said of a member. Only the member itself raises its incarnation; of one incarnation the worse
 // counts.
-struct Rumour {
+struct MemberUpdate {
   MemberId member;
-  Standing standing = Standing::alive;
+  MemberState standing = MemberState::alive;
   std::uint64_t incarnation = 0;
-  auto operator<=>(const Rumour&) const = default;
+  auto operator<=>(const MemberUpdate&) const = default;
 };
 
 struct Ping {
@@ -57,7 +57,7 @@
 // Facts of the sender's log (recovery/codec.hpp) from one sequence to another; times in them count from when
 // this was written. `echo`: the receiver's own clock as it last told it, so that it can bound how old this
 // is.
-struct News {
+struct ReplicationBatch {
   std::uint64_t start = 0;  // of the sender's life
   std::uint64_t from = 0, upto = 0, last = 0;
   std::int64_t echo = 0;  // micros; 0: it was never told
@@ -67,12 +67,12 @@
   std::uint64_t start = 0, upto = 0;  // of the sender's log that is answered
   std::int64_t at = 0;                // the answerer's clock, micros
 };
-using Body = std::variant<Ping, Ack, PingFor, AskVote, Vote, GiveUp, News, Heard>;
+using Body = std::variant<Ping, Ack, PingFor, AskVote, Vote, GiveUp, ReplicationBatch, Heard>;
 
 struct Message {
   MemberId from, to;
   Body body;
-  std::vector<Rumour> rumours;  // on every message, a few
+  std::vector<MemberUpdate> updates;  // on every message, a few
 };
 
 }  // namespace gorsemount::cluster
--- a/src/cluster/replication.cpp
+++ b/src/cluster/replication.cpp
@@ -3,13 +3,13 @@
 #include <algorithm>
 #include <utility>
 
-#include "recovery/belief.hpp"
 #include "recovery/codec.hpp"
+#include "recovery/fact_confidence.hpp"
 
 namespace gorsemount::cluster {
 
 using recovery::Entry;
-using recovery::Kind;
+using recovery::FactKind;
 
 namespace {
 
@@ -30,9 +30,9 @@
 
 std::size_t Replication::observe(Instant now, const recovery::Facts& present) {
   const auto wrote = own_.observe(now, present);
-  std::uint64_t all = own_.last();
+  std::uint64_t all = own_.last_sequence();
   for (const auto& [member, peer] : peers_) all = std::min(all, peer.acked);
-  own_.forget_gone(now, all);
+  own_.purge_deleted(now, all);
   return wrote;
 }
 
@@ -42,7 +42,7 @@
 }
 
 void Replication::tell(Instant now, MemberId to, Peer& peer) {
-  News news{start_, peer.acked, peer.acked, own_.last(), peer.echo, {}};
+  ReplicationBatch news{start_, peer.acked, peer.acked, own_.last_sequence(), peer.echo, {}};
   auto entries = own_.after(peer.acked, kBatch);
   while (!entries.empty()) {
     news.facts = recovery::encode(entries, now);
@@ -57,7 +57,7 @@
   }
   if (!entries.empty()) news.upto = entries.back().sequence;
   // The end of the log may be of entries that were compacted away.
-  if (own_.after(news.upto, 1).empty()) news.upto = own_.last();
+  if (own_.after(news.upto, 1).empty()) news.upto = own_.last_sequence();
   peer.underway = news.upto, peer.again = now + s_.again, peer.beat = now + s_.beat;
   ++counters_.told;
   send(to, std::move(news));
@@ -66,7 +66,7 @@
 std::vector<Message> Replication::tick(Instant now) {
   for (auto& [member, peer] : peers_) {
     const bool waiting = peer.underway > peer.acked && now < peer.again;
-    if ((peer.acked < own_.last() && !waiting) || now >= peer.beat) tell(now, member, peer);
+    if ((peer.acked < own_.last_sequence() && !waiting) || now >= peer.beat) tell(now, member, peer);
   }
   return std::exchange(out_, {});
 }
@@ -75,12 +75,12 @@
   Instant next = Instant{} + Span::micros(INT64_MAX);
   for (const auto& [member, peer] : peers_) {
     next = std::min(next, peer.beat);
-    if (peer.acked < own_.last()) next = std::min(next, peer.again);
+    if (peer.acked < own_.last_sequence()) next = std::min(next, peer.again);
   }
   return next;
 }
 
-void Replication::take(Instant now, MemberId from, const News& news) {
+void Replication::take(Instant now, MemberId from, const ReplicationBatch& news) {
   Copy& copy = copies_.at(from);
   const auto answer = [&] { send(from, Heard{copy.start, copy.upto, micros(now)}); };
   if (news.start < copy.start) return;  // of a life that is over
@@ -107,14 +107,14 @@
   copy.upto = news.upto, copy.last = news.last;
   if (copy.whole())
     copy.confirmed = std::max(copy.confirmed.value_or(Instant{}), Instant{} + Span::micros(news.echo));
-  copy.known.forget_gone(now, 0);
+  copy.known.purge_deleted(now, 0);
   answer();
 }
 
 void Replication::receive(Instant now, const Message& m) {
   const auto it = peers_.find(m.from);
   if (it == peers_.end()) return;
-  if (const auto* news = std::get_if<News>(&m.body)) {
+  if (const auto* news = std::get_if<ReplicationBatch>(&m.body)) {
     take(now, m.from, *news);
   } else if (const auto* heard = std::get_if<Heard>(&m.body)) {
     Peer& peer = it->second;
@@ -123,7 +123,7 @@
       peer.acked = 0, peer.beat = now;  // it knows another life of ours, or none
       return;
     }
-    if (heard->upto > own_.last()) return;
+    if (heard->upto > own_.last_sequence()) return;
     peer.acked = heard->upto, peer.underway = std::min(peer.underway, peer.acked);
   }
 }
@@ -137,7 +137,7 @@
     auto entries = copy.known.after(0);
     // What was learned since the last whole confirmation is younger than that, and no worse.
     for (auto& e : entries) e.learned = std::min(e.learned, *copy.confirmed);
-    sources.push_back(recovery::believe(entries, *copy.confirmed, now).acts);
+    sources.push_back(recovery::select_trusted(entries, *copy.confirmed, now).applicable);
   }
   return recovery::merge(std::move(sources));
 }
@@ -148,8 +148,8 @@
   const Entry* word = nullptr;
   for (const auto& [member, copy] : copies) {
     if (!copy.confirmed || now - *copy.confirmed > kFollow) continue;
-    const auto it = copy.known.entries().find({Kind::group_table, group});
-    if (it == copy.known.entries().end() || it->second.gone || !it->second.fact.figures.contains("table"))
+    const auto it = copy.known.entries().find({FactKind::group_table, group});
+    if (it == copy.known.entries().end() || it->second.deleted || !it->second.fact.figures.contains("table"))
       continue;
     if (word != nullptr && word->learned >= it->second.learned) continue;
     leader = &copy, word = &it->second;
@@ -159,11 +159,13 @@
   GroupTable found;
   const auto& entries = leader->known.entries();
   const std::string prefix = table + "/";
-  for (auto it = entries.lower_bound({Kind::table_lines, prefix});
-       it != entries.end() && it->first.kind == Kind::table_lines && it->first.name.starts_with(prefix); ++it)
-    if (!it->second.gone)
+  for (auto it = entries.lower_bound({FactKind::table_lines, prefix});
+       it != entries.end() && it->first.kind == FactKind::table_lines && it->first.name.starts_with(prefix);
+       ++it)
+    if (!it->second.deleted)
       for (const auto& [backend, weight] : it->second.fact.figures) found.lines[backend] = weight;
-  if (const auto it = entries.find({Kind::table_levels, table}); it != entries.end() && !it->second.gone)
+  if (const auto it = entries.find({FactKind::table_levels, table});
+      it != entries.end() && !it->second.deleted)
     for (const auto& [name, value] : it->second.fact.figures) {
       const auto at = name.find(' ');
       if (at == std::string::npos) continue;
--- a/src/cluster/replication.hpp
+++ b/src/cluster/replication.hpp
@@ -8,8 +8,8 @@
 #include <optional>
 #include <vector>
 
-#include "cluster/types.hpp"
-#include "recovery/knowledge.hpp"
+#include "cluster/messages.hpp"
+#include "recovery/fact_log.hpp"
 
 namespace gorsemount::cluster {
 
@@ -35,7 +35,7 @@
   struct Copy {
     std::uint64_t start = 0, upto = 0, last = 0;
     std::optional<Instant> confirmed;  // all of it held at that time, or later
-    recovery::Knowledge known;
+    recovery::FactLog known;
     [[nodiscard]] bool whole() const { return start > 0 && upto == last; }
   };
   [[nodiscard]] const std::map<MemberId, Copy>& copies() const { return copies_; }
@@ -59,12 +59,12 @@
   };
   void send(MemberId to, Body body);
   void tell(Instant now, MemberId to, Peer& peer);
-  void take(Instant now, MemberId from, const News& news);
+  void take(Instant now, MemberId from, const ReplicationBatch& news);
 
   MemberId self_;
   ReplicationSettings s_;
   std::uint64_t start_;
-  recovery::Knowledge own_;
+  recovery::FactLog own_;
   std::map<MemberId, Peer> peers_;
   std::map<MemberId, Copy> copies_;
   std::vector<recovery::Entry> news_;
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -93,15 +93,15 @@
   }
   // What is neither its own nor near is far.
   for (std::size_t a = 0; a < core.zones.size(); ++a) {
-    core.tier.emplace_back(core.zones.size(), 2);
-    core.tier[a][a] = 0;
+    core.zone_tiers.emplace_back(core.zones.size(), 2);
+    core.zone_tiers[a][a] = 0;
     for (const auto& [name, at] : near[a]) {
       const auto it = std::find(core.zones.begin(), core.zones.end(), name);
       if (it == core.zones.end()) {
         root.fault(at, fmt::format("'near' names \"{}\", which is no zone; known: {}", name,
                                    fmt::join(core.zones, ", ")));
       } else if (it - core.zones.begin() != static_cast<std::ptrdiff_t>(a)) {
-        core.tier[a][static_cast<std::size_t>(it - core.zones.begin())] = 1;
+        core.zone_tiers[a][static_cast<std::size_t>(it - core.zones.begin())] = 1;
       }
     }
   }
--- a/src/coordinator/draw.cpp
+++ b/src/coordinator/answer_sampling.cpp
@@ -1,4 +1,4 @@
-#include "coordinator/draw.hpp"
+#include "coordinator/answer_sampling.hpp"
 
 #include <algorithm>
 #include <climits>
@@ -30,8 +30,8 @@
 
 }  // namespace
 
-std::vector<Drawn> draw_weighted(const std::vector<Line>& lines, std::size_t most, double phase) {
-  std::vector<Drawn> drawn;
+std::vector<SampledLine> sample_weighted(const std::vector<Line>& lines, std::size_t most, double phase) {
+  std::vector<SampledLine> drawn;
   std::vector<bool> rest(lines.size(), true);
   double weight = 0;
   for (const auto& line : lines) weight += line.weight;
@@ -52,33 +52,35 @@
     const double step = weight / static_cast<double>(left);
     systematic(lines, rest, step, phase, left, [&](std::size_t k) { drawn.push_back({k, step}); });
   }
-  std::sort(drawn.begin(), drawn.end(), [](const Drawn& a, const Drawn& b) { return a.place < b.place; });
+  std::sort(drawn.begin(), drawn.end(),
+            [](const SampledLine& a, const SampledLine& b) { return a.index < b.index; });
   return drawn;
 }
 
-std::vector<Drawn> draw_tiers(const std::vector<Line>& lines, std::size_t most, double phase) {
+std::vector<SampledLine> sample_tiered(const std::vector<Line>& lines, std::size_t most, double phase) {
   // The usual case, at the price of a look: answers are drawn by the hundred thousand a second.
   const bool one =
       std::all_of(lines.begin(), lines.end(), [&](const Line& l) { return l.tier == lines.front().tier; });
-  if (one) return draw_weighted(lines, most, phase);
+  if (one) return sample_weighted(lines, most, phase);
   std::map<int, std::vector<std::size_t>> tiers;
   for (std::size_t k = 0; k < lines.size(); ++k) tiers[lines[k].tier].push_back(k);
   std::size_t left = most;
-  std::vector<Drawn> drawn;
+  std::vector<SampledLine> drawn;
   for (auto it = tiers.begin(); it != tiers.end() && left > 0; ++it) {
     const auto later = static_cast<std::size_t>(std::distance(std::next(it), tiers.end()));
     const std::size_t kept = it == tiers.begin() ? std::min(left - 1, later * kTurnTo) : 0;
     const std::size_t places = it == tiers.begin() ? left - kept : std::min(left, kTurnTo);
     std::vector<Line> own;
     for (const auto k : it->second) own.push_back(lines[k]);
-    for (const auto& d : draw_weighted(own, places, phase))
-      drawn.push_back({it->second[d.place], d.weight}), --left;
+    for (const auto& d : sample_weighted(own, places, phase))
+      drawn.push_back({it->second[d.index], d.weight}), --left;
   }
-  std::sort(drawn.begin(), drawn.end(), [](const Drawn& a, const Drawn& b) { return a.place < b.place; });
+  std::sort(drawn.begin(), drawn.end(),
+            [](const SampledLine& a, const SampledLine& b) { return a.index < b.index; });
   return drawn;
 }
 
-std::vector<std::size_t> draw_equal(const std::vector<Line>& lines, std::size_t most, double phase) {
+std::vector<std::size_t> sample_uniform(const std::vector<Line>& lines, std::size_t most, double phase) {
   std::vector<std::size_t> drawn;
   double weight = 0, heaviest = 0;
   int first = INT_MAX;
--- a/src/coordinator/baseline.cpp
+++ b/src/coordinator/baseline.cpp
@@ -2,14 +2,14 @@
 
 namespace gorsemount::coordinator {
 
-Decide fixed_weights() {
+DecisionMaker fixed_weights() {
   return [](Instant, const std::vector<Event>& events) {
     std::vector<Order> orders;
     for (const auto& event : events) {
-      if (const auto* listed = std::get_if<Listed>(&event)) {
+      if (const auto* listed = std::get_if<BackendListUpdate>(&event)) {
         for (const auto& e : listed->entries)
           orders.emplace_back(
-              SetLine{TableId{}, e.backend, e.availability == Availability::ready ? e.weight : 0});
+              SetWeight{TableId{}, e.backend, e.availability == Availability::ready ? e.weight : 0});
       } else if (const auto* joined = std::get_if<ProxyJoined>(&event)) {
         orders.emplace_back(BindProxy{joined->proxy, TableId{}});
       }
@@ -18,14 +18,14 @@
   };
 }
 
-Decide zone_local() {
+DecisionMaker zone_local() {
   return [](Instant, const std::vector<Event>& events) {
     std::vector<Order> orders;
     for (const auto& event : events) {
-      if (const auto* listed = std::get_if<Listed>(&event)) {
+      if (const auto* listed = std::get_if<BackendListUpdate>(&event)) {
         for (const auto& e : listed->entries)
-          orders.emplace_back(SetLine{TableId{e.zone.value}, e.backend,
-                                      e.availability == Availability::ready ? e.weight : 0});
+          orders.emplace_back(SetWeight{TableId{e.zone.value}, e.backend,
+                                        e.availability == Availability::ready ? e.weight : 0});
       } else if (const auto* joined = std::get_if<ProxyJoined>(&event)) {
         orders.emplace_back(BindProxy{joined->proxy, TableId{joined->zone.value}});
       }
--- a/src/coordinator/baseline.hpp
+++ b/src/coordinator/baseline.hpp
@@ -6,9 +6,9 @@
 
 namespace gorsemount::coordinator {
 
-[[nodiscard]] Decide fixed_weights();
+[[nodiscard]] DecisionMaker fixed_weights();
 // The same, and each proxy is given its own zone's backends only. With none of them left the coordinator's
 // guard of rule 1 stands in, as it does for any that decides.
-[[nodiscard]] Decide zone_local();
+[[nodiscard]] DecisionMaker zone_local();
 
 }  // namespace gorsemount::coordinator
--- a/src/coordinator/channel.hpp
+++ b/src/coordinator/channel.hpp
@@ -16,7 +16,7 @@
   std::uint64_t version = 0;
   Instant made;
   std::map<BackendId, double> lines;
-  std::vector<Level> levels;
+  std::vector<AdmissionLevel> levels;
   std::vector<int> tiers;  // by zone of backends, for whoever turns from one to the next; empty: all 0
   bool urgent = false;     // it takes out what a rule forces out
 };
--- a/src/coordinator/coordinator.cpp
+++ b/src/coordinator/coordinator.cpp
@@ -37,31 +37,31 @@
 
 }  // namespace
 
-gorsemount::Settings module_settings(const Settings& s) {
+gorsemount::Settings policy_settings(const Settings& s) {
   gorsemount::Settings m;
   for (const auto& op : s.operations)
     m.operations.push_back({op.effect, op.latency_objective, op.billed_value});
-  m.level_kind = s.levels ? LevelKind::share : LevelKind::off;
+  m.admission_mode = s.levels ? AdmissionMode::share : AdmissionMode::off;
   m.report_every = s.report_every;
-  m.intake = 1e9;  // report lines never wait here: evidence is summed up by the round
+  m.max_report_rate = 1e9;  // report lines never wait here: evidence is summed up by the round
   m.backlog = s.backlog, m.push_rate = s.lines_per_second, m.per_message = s.per_message;
   m.messages_most = s.messages_most, m.messages_window = s.messages_window;
   // Every group may ask every coordinator, so each has them all.
   m.proxies = static_cast<double>(s.groups.size() + s.forwarders.size()) * s.coordinators,
   m.coordinators = s.coordinators;
   m.keepalive = s.keepalive;
-  m.ask_within = s.unserved;
+  m.subscribe_timeout = s.unserved;
   m.drain_grace = s.drain_grace, m.removal_binds = s.removal_binds;
   m.cold_from = s.cold_from, m.cold_for = s.cold_for, m.tip_multiple = s.tip_multiple;
   return m;
 }
 
-Decide module_of(const Settings& settings) {
-  auto policy = std::make_shared<Policy>(module_settings(settings), settings.seed);
-  Decide decide{
+DecisionMaker policy_decision_maker(const Settings& settings) {
+  auto policy = std::make_shared<Policy>(policy_settings(settings), settings.seed);
+  DecisionMaker decide{
       [policy](Instant now, const std::vector<Event>& events) { return policy->handle(now, events); }};
-  decide.remember = [policy](Instant now) { return policy->remember(now); };
-  decide.recall = [policy](Instant now, const Memory& memory) { policy->recall(now, memory); };
+  decide.export_state = [policy](Instant now) { return policy->snapshot(now); };
+  decide.import_state = [policy](Instant now, const PolicySnapshot& memory) { policy->restore(now, memory); };
   return decide;
 }
 
@@ -73,8 +73,8 @@
 namespace {
 
 // The settings tell no cost; the latency objective is the only hint of it, as in the module.
-std::vector<limits::Priced> priced(const Settings& s) {
-  std::vector<limits::Priced> operations;
+std::vector<limits::PricedOperation> priced(const Settings& s) {
+  std::vector<limits::PricedOperation> operations;
   for (std::size_t k = 0; k < s.operations.size(); ++k)
     operations.push_back(
         {op_at(k), s.operations[k].billed_value, s.operations[k].latency_objective.seconds()});
@@ -83,30 +83,30 @@
 
 }  // namespace
 
-Coordinator::Coordinator(Settings settings, Decide decide)
+Coordinator::Coordinator(Settings settings, DecisionMaker decide)
     : s_{std::move(settings)},
       decide_{std::move(decide)},
       group_map_{std::make_shared<const GroupMap>(s_)},
-      evidence_{s_, [this](const Address& a) { return group_map_->of(a); }},
+      evidence_{s_, [this](const Address& a) { return group_map_->group_of(a); }},
       limit_{s_.fleet_rate, priced(s_)},
       retries_{s_.retry_share, s_.retry_window},
-      directory_{std::make_shared<const std::map<BackendId, Known>>()} {
-  if (s_.spill) spill_.emplace(s_.tier);
+      directory_{std::make_shared<const std::map<BackendId, DirectoryEntry>>()} {
+  if (s_.spill) spill_.emplace(s_.zone_tiers);
 }
 
-void Coordinator::note(Note::Weight weight, std::string event,
+void Coordinator::note(LogEvent::Severity weight, std::string event,
                        std::vector<std::pair<std::string, std::string>> fields) {
-  out_.notes.push_back({weight, std::move(event), std::move(fields)});
+  out_.log_events.push_back({weight, std::move(event), std::move(fields)});
 }
 
-std::optional<BackendId> Coordinator::id_of(const std::string& name) const {
+std::optional<BackendId> Coordinator::backend_id(const std::string& name) const {
   const auto it = ids_.find(name);
   return it == ids_.end() ? std::nullopt : std::optional{it->second};
 }
 
 Counters Coordinator::counters() const {
   Counters c = counters_;
-  c.held_back = channel_.held_back(), c.most_waiting = channel_.most_waiting();
+  c.deferred_messages = channel_.held_back(), c.peak_backlog = channel_.most_waiting();
   return c;
 }
 
@@ -116,7 +116,7 @@
 
 // ---- What comes in -------------------------------------------------------------------------------------
 
-void Coordinator::absorb(const RosterHeard& e) {
+void Coordinator::absorb(const RosterUpdate& e) {
   std::set<BackendId> lost;
   for (const auto& [id, row] : rows_)
     if (row.listed) lost.insert(id);
@@ -157,47 +157,47 @@
   }
 }
 
-void Coordinator::absorb(const LoadHeard& e) {
+void Coordinator::absorb(const LoadReport& e) {
   const auto row = rows_.find(e.backend);
   if (row == rows_.end() || !row->second.listed) return;
-  const Doubt doubt = evidence_.load(now_, e.backend, e.asked, e.sample);
+  const SampleFault doubt = evidence_.load(now_, e.backend, e.requested_at, e.sample);
   unheard_.erase(e.backend);
   touched_.insert(e.backend);
   if (absent_.contains(e.backend)) heed_absence(e.backend);
-  counters_.doubted += doubt == Doubt::none ? 0 : 1;
-  Doubt& last = doubts_[e.backend];
+  counters_.rejected_samples += doubt == SampleFault::none ? 0 : 1;
+  SampleFault& last = doubts_[e.backend];
   if (doubt != last)
-    note(doubt == Doubt::none ? Note::Weight::info : Note::Weight::warning, "load_doubted",
+    note(doubt == SampleFault::none ? LogEvent::Severity::info : LogEvent::Severity::warning, "load_doubted",
          {{"backend", row->second.entry.name}, {"doubt", coordinator::name_of(doubt)}});
   last = doubt;
 }
 
-void Coordinator::absorb(const LoadMissing& e) {
+void Coordinator::absorb(const LoadPollFailed& e) {
   const auto row = rows_.find(e.backend);
   if (row == rows_.end() || !unheard_.insert(e.backend).second) return;
-  note(Note::Weight::warning, "load_missing", {{"backend", row->second.entry.name}, {"why", e.why}});
+  note(LogEvent::Severity::warning, "load_missing", {{"backend", row->second.entry.name}, {"why", e.reason}});
 }
 
-void Coordinator::absorb(const HealthHeard& e) {
+void Coordinator::absorb(const HealthCheckResult& e) {
   const auto row = rows_.find(e.backend);
   if (row == rows_.end() || !row->second.listed) return;
   const bool was = evidence_.absent(e.backend);
-  evidence_.health(e.backend, e.health, e.took);
+  evidence_.health(e.backend, e.health, e.latency);
   if (evidence_.absent(e.backend) != was) heed_absence(e.backend);
 }
 
-void Coordinator::absorb(const LookedUp& e) {
+void Coordinator::absorb(const GroupLookup& e) {
   if (e.group.value >= s_.groups.size()) return;
   group_seen_[e.group] = now_;
   if (led_elsewhere_.contains(e.group)) return;  // whoever leads it hears of it
   for (auto& event : attendance_.looked_up(now_, e.group)) {
     channel_.join(e.group);
-    note(Note::Weight::info, "group_joined", {{"group", s_.groups[e.group.value].name}});
+    note(LogEvent::Severity::info, "group_joined", {{"group", s_.groups[e.group.value].name}});
     events_.push_back(std::move(event));
   }
 }
 
-void Coordinator::absorb(const Retuned& e) {
+void Coordinator::absorb(const SettingsReloaded& e) {
   std::vector<ProxyId> groups;
   for (const auto& [proxy, seen] : attendance_.present())
     if (!is_forwarder(proxy)) groups.push_back(proxy);
@@ -211,63 +211,65 @@
   group_map_ = std::make_shared<const GroupMap>(s_);
   views_.clear();
   dirty_ = true;
-  note(Note::Weight::info, "retuned", {{"groups", std::to_string(s_.groups.size())}});
+  note(LogEvent::Severity::info, "retuned", {{"groups", std::to_string(s_.groups.size())}});
 }
 
 void Coordinator::absorb(const ForwarderJoined& e) {
   for (auto& event : attendance_.joined(now_, e.forwarder)) {
-    channel_.join(e.forwarder), limit_.joined(e.forwarder), retries_.joined(e.forwarder),
+    channel_.join(e.forwarder), limit_.add_forwarder(e.forwarder), retries_.add_forwarder(e.forwarder),
         holds_[e.forwarder] = 0;
-    if (own_memory_ && !e.holds.empty()) found_[e.forwarder] = {e.holds, now_ + s_.report_every * kFound};
+    if (own_memory_ && !e.current_weights.empty())
+      found_[e.forwarder] = {e.current_weights, now_ + s_.report_every * kFound};
     if (e.taken_over) {
       const auto half = half_sent_.find(e.forwarder);
       care_[e.forwarder] = {half != half_sent_.end() && half->second, {}};
     }
-    note(Note::Weight::info, "forwarder_joined", {{"forwarder", proxy_name(e.forwarder)}});
+    note(LogEvent::Severity::info, "forwarder_joined", {{"forwarder", proxy_name(e.forwarder)}});
     events_.push_back(std::move(event));
   }
 }
 
 void Coordinator::absorb(const ForwarderLeft& e) {
   for (auto& event : attendance_.left(e.forwarder)) {
-    channel_.leave(e.forwarder), limit_.left(e.forwarder), retries_.left(e.forwarder);
+    channel_.leave(e.forwarder), limit_.remove_forwarder(e.forwarder), retries_.remove_forwarder(e.forwarder);
     bound_.erase(e.forwarder), holds_.erase(e.forwarder), sent_.erase(e.forwarder), care_.erase(e.forwarder);
     found_.erase(e.forwarder);
-    note(Note::Weight::info, "forwarder_left", {{"forwarder", proxy_name(e.forwarder)}});
+    note(LogEvent::Severity::info, "forwarder_left", {{"forwarder", proxy_name(e.forwarder)}});
     events_.push_back(std::move(event));
   }
 }
 
-void Coordinator::absorb(const ForwarderMet& e) {
+void Coordinator::absorb(const ForwarderReport& e) {
   if (!attendance_.present().contains(e.forwarder)) return;
-  if (!evidence_.met(e, s_.forwarders[e.forwarder.value - kFirstForwarder].zone)) {
-    ++counters_.doubted;
-    note(Note::Weight::warning, "report_doubted", {{"forwarder", proxy_name(e.forwarder)}});
+  if (!evidence_.met(e, s_.forwarders[e.forwarder.value - kFirstForwarderId].zone)) {
+    ++counters_.rejected_samples;
+    note(LogEvent::Severity::warning, "report_doubted", {{"forwarder", proxy_name(e.forwarder)}});
     return;
   }
   int tries = 0;
   for (const auto& row : e.rows) tries += row.tries;
-  retries_.met(now_, e.forwarder, tries - e.further, e.further);
-  for (const auto& [operation, n] : e.arrived) limit_.arrived(e.forwarder, operation, n, s_.report_every);
+  retries_.record_tries(now_, e.forwarder, tries - e.further, e.further);
+  for (const auto& [operation, n] : e.arrived)
+    limit_.record_arrivals(e.forwarder, operation, n, s_.report_every);
 }
 
-void Coordinator::absorb(const ForwarderHolds& e) {
+void Coordinator::absorb(const ForwarderAppliedTable& e) {
   if (const auto it = holds_.find(e.forwarder); it != holds_.end()) it->second = e.version;
   if (const auto care = care_.find(e.forwarder); care != care_.end() && !care->second.until)
     care->second.until = now_ + s_.report_every * (care->second.half ? kCareHalf : kCare);
 }
 
 // Why a person's order can't be followed; empty if it can. No order may leave an operation without a worker.
-std::string Coordinator::refusal(const PersonOrders& e) const {
-  using What = PersonOrders::What;
-  if (e.what == What::hold || e.what == What::release) return "";
-  const bool zone = e.what == What::drain_zone || e.what == What::undrain_zone;
+std::string Coordinator::refusal(const OperatorCommand& e) const {
+  using Action = OperatorCommand::Action;
+  if (e.action == Action::hold || e.action == Action::release) return "";
+  const bool zone = e.action == Action::drain_zone || e.action == Action::undrain_zone;
   if (zone && std::find(s_.zones.begin(), s_.zones.end(), e.name) == s_.zones.end())
     return fmt::format("no zone is called '{}'; known: {}", e.name, fmt::join(s_.zones, ", "));
   if (!zone && !ids_.contains(e.name)) return fmt::format("no backend is called '{}'", e.name);
-  if (e.what == What::set_weight && !(e.weight > 0 && e.weight <= 1e6))
+  if (e.action == Action::set_weight && !(e.weight > 0 && e.weight <= 1e6))
     return "a weight is above 0 and at most 1e6";
-  if (e.what != What::drain_zone && e.what != What::disable) return "";
+  if (e.action != Action::drain_zone && e.action != Action::disable) return "";
   for (std::size_t k = 0; k < s_.operations.size(); ++k) {
     bool left = false;
     for (const auto& [id, row] : rows_) {
@@ -279,10 +281,10 @@
     }
     if (!left) return fmt::format("refused: it would leave no ready backend for '{}'", s_.operations[k].name);
   }
-  if (zone && e.what == What::drain_zone && !e.anyway && spill_) {
+  if (zone && e.action == Action::drain_zone && !e.force && spill_) {
     const auto z =
         static_cast<std::size_t>(std::find(s_.zones.begin(), s_.zones.end(), e.name) - s_.zones.begin());
-    if (!spill_->room_without(z))
+    if (!spill_->has_capacity_without(z))
       return fmt::format(
           "refused: the other zones have not shown room for what comes now; 'drain zone {} anyway' does it "
           "all the same",
@@ -291,36 +293,36 @@
   return "";
 }
 
-void Coordinator::absorb(const PersonOrders& e) {
-  using What = PersonOrders::What;
-  out_.answers.push_back(refusal(e));
+void Coordinator::absorb(const OperatorCommand& e) {
+  using Action = OperatorCommand::Action;
+  out_.command_results.push_back(refusal(e));
   constexpr const char* names[] = {"set_weight", "drain_zone", "undrain_zone", "disable",
                                    "enable",     "hold",       "release"};
-  note(Note::Weight::info, "person_ordered",
-       {{"order", names[static_cast<std::size_t>(e.what)]},
+  note(LogEvent::Severity::info, "person_ordered",
+       {{"order", names[static_cast<std::size_t>(e.action)]},
         {"name", e.name},
-        {"refused", out_.answers.back()}});
-  if (!out_.answers.back().empty()) return;
-  switch (e.what) {
-    case What::set_weight:
+        {"refused", out_.command_results.back()}});
+  if (!out_.command_results.back().empty()) return;
+  switch (e.action) {
+    case Action::set_weight:
       persons_.set_weight(now_, e.name, e.weight, e.lifetime);
       break;
-    case What::drain_zone:
+    case Action::drain_zone:
       persons_.drain(now_, e.name);
       break;
-    case What::undrain_zone:
+    case Action::undrain_zone:
       persons_.undrain(now_, e.name);
       break;
-    case What::disable:
+    case Action::disable:
       persons_.disable(now_, e.name);
       break;
-    case What::enable:
+    case Action::enable:
       persons_.enable(now_, e.name);
       break;
-    case What::hold:
+    case Action::hold:
       hold_ = true, hold_ordered_ = now_;
       break;
-    case What::release:
+    case Action::release:
       hold_ = false, hold_ordered_ = now_;
       break;
   }
@@ -329,7 +331,7 @@
 }
 
 std::string Coordinator::proxy_name(ProxyId proxy) const {
-  return is_forwarder(proxy) ? s_.forwarders[proxy.value - kFirstForwarder].name
+  return is_forwarder(proxy) ? s_.forwarders[proxy.value - kFirstForwarderId].name
                              : s_.groups[proxy.value].name;
 }
 
@@ -348,7 +350,7 @@
   if (counts == absence_counts_) return;
   absence_counts_ = counts;
   touched_.insert(absent_.begin(), absent_.end());
-  note(Note::Weight::warning, counts ? "absence_heeded" : "absence_not_believed",
+  note(LogEvent::Severity::warning, counts ? "absence_heeded" : "absence_not_believed",
        {{"refusing", std::to_string(absent_.size())}, {"listed", std::to_string(listed_)}});
 }
 
@@ -360,13 +362,13 @@
 
 // Tells the module what changed between what it was last told of the list and what is known now.
 void Coordinator::tell_list() {
-  Listed listed{listed_once_ ? ListScope::changes : ListScope::whole, {}};
+  BackendListUpdate listed{listed_once_ ? ListScope::delta : ListScope::full, {}};
   touched_.insert(untold_.begin(), untold_.end());
   if (person_next_ && now_ >= *person_next_) {
     for (const auto& [id, row] : rows_) touched_.insert(id);
     person_next_ = persons_.next_change(now_);
   }
-  Memory memory;
+  PolicySnapshot memory;
   for (const auto id : std::exchange(touched_, {})) {
     Row& row = rows_.at(id);
     const bool back = row.told && row.told->availability == Availability::gone;  // told anew, as if unknown
@@ -380,7 +382,7 @@
     untold_.erase(id);
     recall_backend(id, row, memory);
     const auto past = past_.find(row.entry.name);
-    Listed::Entry entry{id, row.entry.zone, row.entry.availability, row.entry.weight, {}};
+    BackendListUpdate::Entry entry{id, row.entry.zone, row.entry.availability, row.entry.weight, {}};
     if (!row.listed || (absence_counts_ && absent_.contains(id))) {
       entry.availability = Availability::gone;
     } else if (entry.availability == Availability::ready &&
@@ -409,7 +411,7 @@
         row.told && (entry.availability != Availability::ready || row.told->started != entry.started);
     if (worse) row.learned = now_;
     if (!row.told || row.told->availability != entry.availability || worse)
-      note(Note::Weight::info, "backend",
+      note(LogEvent::Severity::info, "backend",
            {{"backend", row.entry.name},
             {"state", name_of(entry.availability)},
             {"cold", entry.started && now_ - *entry.started < s_.cold_for ? "yes" : "no"}});
@@ -419,7 +421,7 @@
     ++guards_;
   }
   // Before the module hears of them: a backend that was out must not get a full line first.
-  if (!memory.backends.empty() && decide_.recall) decide_.recall(now_, memory);
+  if (!memory.backends.empty() && decide_.import_state) decide_.import_state(now_, memory);
   if (listed.entries.empty()) return;
   listed_once_ = true;
   events_.insert(events_.begin(), std::move(listed));
@@ -431,7 +433,7 @@
   std::set<TableId> changed;
   counters_.orders += orders.size();
   for (const auto& order : orders) {
-    if (const auto* line = std::get_if<SetLine>(&order)) {
+    if (const auto* line = std::get_if<SetWeight>(&order)) {
       auto& lines = tables_[line->table].lines;
       if (line->weight > 0) {
         lines[line->backend] = line->weight;
@@ -439,10 +441,10 @@
         lines.erase(line->backend);
       }
       changed.insert(line->table);
-    } else if (const auto* level = std::get_if<SetLevel>(&order)) {
+    } else if (const auto* level = std::get_if<SetAdmission>(&order)) {
       auto& levels = tables_[level->table].levels;
       levels.resize(s_.operations.size());
-      levels.at(level->operation.value) = {level->tries, level->level};
+      levels.at(level->operation.value) = {level->retries, level->limit};
       changed.insert(level->table);
     } else if (const auto* bind = std::get_if<BindProxy>(&order)) {
       if (!attendance_.present().contains(bind->proxy)) continue;
@@ -452,9 +454,9 @@
         versions_[bind->table] = std::make_shared<const Table>(tables_[bind->table]);
         changed.insert(bind->table);
       }
-    } else if (const auto* wake = std::get_if<WakeMe>(&order)) {
+    } else if (const auto* wake = std::get_if<SetTimer>(&order)) {
       timers_.emplace(now_ + wake->after, wake->tag);
-    }  // FollowList: the roster is always followed
+    }  // SubscribeToList: the roster is always followed
   }
   frozen_.insert(changed.begin(), changed.end());
   if (hold_) return;
@@ -471,8 +473,8 @@
 void Coordinator::want_tables() {
   for (const auto& [proxy, table] : bound_) {
     const TablePtr& newest = versions_.at(table);
-    const ZoneId zone =
-        is_forwarder(proxy) ? s_.forwarders[proxy.value - kFirstForwarder].zone : s_.groups[proxy.value].zone;
+    const ZoneId zone = is_forwarder(proxy) ? s_.forwarders[proxy.value - kFirstForwarderId].zone
+                                            : s_.groups[proxy.value].zone;
     channel_.want(proxy, spilled(is_forwarder(proxy) ? guarded(newest) : newest, zone));
   }
 }
@@ -504,12 +506,12 @@
   return made = std::make_shared<const Table>(std::move(fresh));
 }
 
-std::shared_ptr<const WantedTable> Coordinator::wanted_table(ProxyId forwarder, const Table& table) {
-  auto wanted = std::make_shared<WantedTable>();
+std::shared_ptr<const DesiredTable> Coordinator::wanted_table(ProxyId forwarder, const Table& table) {
+  auto wanted = std::make_shared<DesiredTable>();
   wanted->version = table.version;
   const auto lines = lines_for(forwarder, table);
   for (std::size_t k = 0; k < s_.operations.size(); ++k) {
-    WantedTable::Part part{s_.operations[k].name, {}, {}, -1};
+    DesiredTable::Operation part{s_.operations[k].name, {}, {}, -1};
     for (const auto& [id, weight] : lines) {
       const auto row = rows_.find(id);
       // Between the channel and here a guard may have come to know better.
@@ -518,24 +520,24 @@
       part.lines.push_back({id, row->second.entry.name, row->second.entry.at, weight, !warm(row->second)});
     }
     if (k < table.levels.size()) part.level = table.levels[k];
-    part.level.tries = limits::allowed(s_.operations[k].effect, part.level.tries);
+    part.level.tries = limits::allowed_retries(s_.operations[k].effect, part.level.tries);
     // Between two that lead it nobody can tell what is still being tried: no further tries till that is over.
-    if (care_.contains(forwarder)) part.level.tries = FurtherTries::none;
-    if (const auto it = parts_.find({forwarder, op_at(k)}); it != parts_.end()) part.rate = it->second;
-    wanted->parts.push_back(std::move(part));
+    if (care_.contains(forwarder)) part.level.tries = RetryPolicy::none;
+    if (const auto it = parts_.find({forwarder, op_at(k)}); it != parts_.end()) part.rate_limit = it->second;
+    wanted->operations.push_back(std::move(part));
   }
   if (s_.retry_share > 0) {
-    const auto part = retries_.parts().find(forwarder);
-    wanted->retries = part == retries_.parts().end() ? s_.retry_share : part->second;
+    const auto part = retries_.allocations().find(forwarder);
+    wanted->retry_ratio = part == retries_.allocations().end() ? s_.retry_share : part->second;
   }
   for (const auto& [id, row] : rows_)
-    if (row.listed) wanted->known.push_back(row.entry.name);
+    if (row.listed) wanted->known_backends.push_back(row.entry.name);
   return wanted;
 }
 
 // The fleet's limit, dealt anew after each round; who is to be told goes with the next delivery.
 void Coordinator::share_limits() {
-  auto fresh = limit_.parts();
+  auto fresh = limit_.allocations();
   std::set<ProxyId> moved;
   const auto differs = [](double a, double b) {
     return std::abs(a - b) > 0.1 * std::max(a, b);
@@ -560,8 +562,8 @@
 void Coordinator::deal_retries() {
   // Every delivery carries the part of its moment, so what stood before the deal is what was told, a recalled
   // part too.
-  const auto before = retries_.parts();
-  for (const auto& [proxy, part] : retries_.deal(now_)) {
+  const auto before = retries_.allocations();
+  for (const auto& [proxy, part] : retries_.allocate(now_)) {
     const auto was = before.find(proxy);
     if (part == (was == before.end() ? s_.retry_share : was->second)) continue;
     const auto held = channel_.in_force().find(proxy);
@@ -576,15 +578,15 @@
     BackendState b;
     b.name = row.entry.name, b.zone = s_.zones[row.entry.zone.value], b.at = row.entry.at;
     b.state = row.told ? name_of(row.told->availability) : "unknown";
-    b.listed = row.told ? row.told->weight : row.entry.weight;
+    b.listed_weight = row.told ? row.told->weight : row.entry.weight;
     for (const auto& [table, version] : versions_)
       if (const auto line = version->lines.find(id); line != version->lines.end())
         b.weight = std::max(b.weight, line->second);
-    b.cold = row.told && !warm(row), b.absent = absent_.contains(id);
+    b.cold = row.told && !warm(row), b.refuses_connections = absent_.contains(id);
     const auto say = persons_.of(b.name, b.zone, now_);
-    b.by_person = !(say == Persons::Say{});
+    b.operator_override = !(say == OperatorOverrides::Say{});
     if (const auto doubt = doubts_.find(id); doubt != doubts_.end())
-      b.doubt = coordinator::name_of(doubt->second);
+      b.sample_fault = coordinator::name_of(doubt->second);
     all.push_back(std::move(b));
   }
   return all;
@@ -603,9 +605,9 @@
     p.name = proxy_name(proxy), p.id = proxy, p.rate = attendance_.usual_rate(proxy);
     if (const auto bound = bound_.find(proxy); bound != bound_.end()) p.table = bound->second;
     if (const auto held = channel_.in_force().find(proxy); held != channel_.in_force().end() && held->second)
-      p.ordered = held->second->version;
+      p.ordered_version = held->second->version;
     const auto holds = holds_.find(proxy);
-    p.holds = holds == holds_.end() ? p.ordered : holds->second;
+    p.applied_version = holds == holds_.end() ? p.ordered_version : holds->second;
     all.push_back(std::move(p));
   }
   return all;
@@ -644,23 +646,23 @@
   }
   if (!dirty_) return;
   dirty_ = false;
-  std::map<BackendId, Known> directory;
+  std::map<BackendId, DirectoryEntry> directory;
   for (const auto& [id, row] : rows_)
     directory.emplace(
-        id, Known{row.entry.name, row.entry.at, row.entry.zone, row.counts(now_, s_.removal_binds)});
+        id, DirectoryEntry{row.entry.name, row.entry.at, row.entry.zone, row.counts(now_, s_.removal_binds)});
   if (directory != *directory_)
-    directory_ = std::make_shared<const std::map<BackendId, Known>>(std::move(directory));
+    directory_ = std::make_shared<const std::map<BackendId, DirectoryEntry>>(std::move(directory));
 
-  auto next = std::make_shared<Published>();
+  auto next = std::make_shared<PublishedState>();
   next->version = ++publish_version_;
   next->directory = directory_;
   next->lifetime = answer_lifetime(s_);
-  std::map<std::pair<std::uint64_t, OperationId>, std::shared_ptr<const View>> views;
+  std::map<std::pair<std::uint64_t, OperationId>, std::shared_ptr<const RoutingView>> views;
   const auto view = [&](const Table* table, std::size_t k) {
     const std::pair key{table == nullptr ? 0 : table->version, op_at(k)};
     auto& made = views[key];
     if (made) return made;
-    View fresh{0, op_at(k), {}, {}};
+    RoutingView fresh{0, op_at(k), {}, {}};
     if (table != nullptr) {
       for (const auto& [id, weight] : table->lines) {
         const auto row = rows_.find(id);
@@ -669,11 +671,11 @@
           const std::size_t zone = row->second.entry.zone.value;
           fresh.lines.push_back({id, weight, zone < table->tiers.size() ? table->tiers[zone] : 0});
         } else {
-          ++counters_.cut_unasked;
+          ++counters_.filtered_lines;
         }
       }
       if (k < table->levels.size()) fresh.level = table->levels[k];
-      if (fresh.lines.empty() && !standing_[k].empty()) ++counters_.stood_in;
+      if (fresh.lines.empty() && !standing_[k].empty()) ++counters_.fallback_views;
     }
     if (fresh.lines.empty()) fresh.lines = standing_[k];
     // Whoever may turn from tier to tier has to have a first one.
@@ -684,7 +686,7 @@
     if (was != views_.end() && was->second->lines == fresh.lines && was->second->level == fresh.level)
       return made = was->second;
     fresh.version = ++view_version_;
-    return made = std::make_shared<const View>(std::move(fresh));
+    return made = std::make_shared<const RoutingView>(std::move(fresh));
   };
   next->views.resize(s_.groups.size());
   for (std::size_t g = 0; g < s_.groups.size(); ++g) {
@@ -709,7 +711,7 @@
   for (auto& event : attendance_.leave_idle(now_)) {
     const ProxyId group = std::get<ProxyLeft>(event).proxy;
     channel_.leave(group), bound_.erase(group);
-    note(Note::Weight::info, "group_left", {{"group", s_.groups[group.value].name}});
+    note(LogEvent::Severity::info, "group_left", {{"group", s_.groups[group.value].name}});
     events_.push_back(std::move(event));
     dirty_ = true;
   }
@@ -727,10 +729,10 @@
     if (spill_) decide_spill(reports);
     // Nor are its processors, or those of what a person has lowered, idle ones that the fleet could use.
     for (auto& event : reports)
-      if (auto* r = std::get_if<BackendReport>(&event); r != nullptr && r->busy)
+      if (auto* r = std::get_if<BackendReport>(&event); r != nullptr && r->utilization)
         if (const auto row = rows_.find(r->backend);
             row != rows_.end() && row->second.told && lowered(row->second))
-          r->busy.reset();
+          r->utilization.reset();
     for (auto& event : reports)
       if (const auto* d = std::get_if<DemandReport>(&event);
           d == nullptr || attendance_.present().contains(d->proxy))
@@ -745,7 +747,7 @@
   out_.messages = channel_.dispatch(now_);
   counters_.messages += out_.messages.size();
   if (channel_.held_back() != held_before)
-    note(Note::Weight::warning, "channel_full",
+    note(LogEvent::Severity::warning, "channel_full",
          {{"waiting", fmt::format("{:.0f}", channel_.waiting(now_))},
           {"backlog", fmt::format("{:.0f}", s_.backlog)},
           {"held_back", std::to_string(channel_.held_back())}});
@@ -759,14 +761,14 @@
     }
   publish();
 
-  out_.wake_at = *round_at_;
-  if (!timers_.empty()) out_.wake_at = std::min(out_.wake_at, timers_.begin()->first);
-  if (person_next_) out_.wake_at = std::min(out_.wake_at, *person_next_);
-  if (next_warm_) out_.wake_at = std::min(out_.wake_at, *next_warm_);
+  out_.next_wakeup = *round_at_;
+  if (!timers_.empty()) out_.next_wakeup = std::min(out_.next_wakeup, timers_.begin()->first);
+  if (person_next_) out_.next_wakeup = std::min(out_.next_wakeup, *person_next_);
+  if (next_warm_) out_.next_wakeup = std::min(out_.next_wakeup, *next_warm_);
   for (const auto& [proxy, care] : care_)
-    if (care.until) out_.wake_at = std::min(out_.wake_at, *care.until);
-  for (const auto& [proxy, found] : found_) out_.wake_at = std::min(out_.wake_at, found.until);
-  if (const auto arrival = channel_.next_arrival()) out_.wake_at = std::min(out_.wake_at, *arrival);
+    if (care.until) out_.next_wakeup = std::min(out_.next_wakeup, *care.until);
+  for (const auto& [proxy, found] : found_) out_.next_wakeup = std::min(out_.next_wakeup, found.until);
+  if (const auto arrival = channel_.next_arrival()) out_.next_wakeup = std::min(out_.next_wakeup, *arrival);
   return std::move(out_);
 }
 
--- a/src/coordinator/coordinator.hpp
+++ b/src/coordinator/coordinator.hpp
@@ -13,33 +13,33 @@
 #include <type_traits>
 
 #include "coordinator/channel.hpp"
-#include "coordinator/evidence.hpp"
 #include "coordinator/groups.hpp"
-#include "coordinator/persons.hpp"
+#include "coordinator/operator_overrides.hpp"
+#include "coordinator/report_aggregator.hpp"
 #include "coordinator/types.hpp"
-#include "limits/fleet_limit.hpp"
+#include "limits/fleet_rate_limit.hpp"
 #include "limits/retry_budget.hpp"
-#include "spill/spill.hpp"
+#include "spillover/spillover_planner.hpp"
 
 namespace gorsemount::coordinator {
 
 // What decides: the module, or a baseline beside it, which remembers nothing.
-struct Decide {
+struct DecisionMaker {
   using Handle = std::function<std::vector<Order>(Instant, const std::vector<Event>&)>;
-  Decide() = default;
+  DecisionMaker() = default;
   template <class F>
-  requires std::is_constructible_v<Handle, F> Decide(F f)
+  requires std::is_constructible_v<Handle, F> DecisionMaker(F f)
       : handle{std::move(f)} {}  // NOLINT: a plain function decides too
   explicit operator bool() const { return static_cast<bool>(handle); }
 
   Handle handle;
-  std::function<Memory(Instant)> remember;
-  std::function<void(Instant, const Memory&)> recall;
+  std::function<PolicySnapshot(Instant)> export_state;
+  std::function<void(Instant, const PolicySnapshot&)> import_state;
 };
 
 // The module's settings, worked out from ours.
-[[nodiscard]] gorsemount::Settings module_settings(const Settings& settings);
-[[nodiscard]] Decide module_of(const Settings& settings);
+[[nodiscard]] gorsemount::Settings policy_settings(const Settings& settings);
+[[nodiscard]] DecisionMaker policy_decision_maker(const Settings& settings);
 
 // How long an answer may be kept, in whole seconds, so that what was cut is out of all caches within the
 // grace. Half of the grace less the time of use: the other half is for the coordinator to hear and to cut.
@@ -47,16 +47,16 @@
 
 struct Counters {
   std::uint64_t steps = 0, orders = 0, messages = 0;
-  std::uint64_t held_back = 0;    // messages that did not fit into the channel at once
-  std::uint64_t cut_unasked = 0;  // lines that the published views left out though a table had them
-  std::uint64_t stood_in = 0;     // views that the standing lines filled since they were empty
-  std::uint64_t doubted = 0;      // load replies that were not taken as they came
-  double most_waiting = 0;        // lines
+  std::uint64_t deferred_messages = 0;  // messages that did not fit into the channel at once
+  std::uint64_t filtered_lines = 0;     // lines that the published views left out though a table had them
+  std::uint64_t fallback_views = 0;     // views that the standing lines filled since they were empty
+  std::uint64_t rejected_samples = 0;   // load replies that were not taken as they came
+  double peak_backlog = 0;              // lines
 };
 
 class Coordinator {
  public:
-  Coordinator(Settings settings, Decide decide);
+  Coordinator(Settings settings, DecisionMaker decide);
   // The parts refer to each other.
   Coordinator(const Coordinator&) = delete;
   Coordinator& operator=(const Coordinator&) = delete;
@@ -64,7 +64,7 @@
   [[nodiscard]] Effects step(Instant now, const std::vector<Input>& inputs);
 
   // The id by which inputs name a backend of the roster; absent if it never was in it.
-  [[nodiscard]] std::optional<BackendId> id_of(const std::string& name) const;
+  [[nodiscard]] std::optional<BackendId> backend_id(const std::string& name) const;
   [[nodiscard]] std::shared_ptr<const GroupMap> group_map() const { return group_map_; }
   [[nodiscard]] Counters counters() const;
 
@@ -72,16 +72,16 @@
   struct BackendState {
     std::string name, zone, state;  // state: unknown, ready, draining, gone
     Endpoint at;
-    double listed = 0, weight = 0;  // weight: by the newest tables, of all operations the highest
-    bool cold = false, absent = false, by_person = false;
-    const char* doubt = "none";
+    double listed_weight = 0, weight = 0;  // weight: by the newest tables, of all operations the highest
+    bool cold = false, refuses_connections = false, operator_override = false;
+    const char* sample_fault = "none";
   };
   [[nodiscard]] std::vector<BackendState> backends() const;
   struct ProxyState {
     std::string name;
     ProxyId id;
     std::optional<TableId> table;
-    std::uint64_t ordered = 0, holds = 0;  // versions
+    std::uint64_t ordered_version = 0, applied_version = 0;  // versions
     double rate = 0;
   };
   [[nodiscard]] std::vector<ProxyState> proxies() const;
@@ -89,21 +89,21 @@
   // A version of a table, while it is among the last that were made; null otherwise.
   [[nodiscard]] TablePtr table_version(std::uint64_t version) const;
   [[nodiscard]] const Settings& settings() const { return s_; }
-  [[nodiscard]] double waiting() const { return channel_.waiting(now_); }
-  [[nodiscard]] bool held() const { return hold_; }
+  [[nodiscard]] double channel_backlog() const { return channel_.waiting(now_); }
+  [[nodiscard]] bool decisions_held() const { return hold_; }
 
   // What is worth telling another controller, or a later life (remember.cpp).
   [[nodiscard]] recovery::Facts facts() const;
   // A zone is being drained or comes back, by the module's ladder or by a person's order.
-  [[nodiscard]] bool zone_moves() const;
+  [[nodiscard]] bool zone_shift_in_progress() const;
 
  private:
   struct Row {
     RosterEntry entry;
     Instant first_seen;
-    bool listed = true;                 // in the newest roster
-    std::optional<Listed::Entry> told;  // what the module knows
-    Instant learned;                    // when it was last known to drain, to be gone or to start anew
+    bool listed = true;                            // in the newest roster
+    std::optional<BackendListUpdate::Entry> told;  // what the module knows
+    Instant learned;  // when it was last known to drain, to be gone or to start anew
     bool counts(const Instant made, const bool removal_binds) const {
       if (!told) return false;
       if (told->availability == Availability::draining) return false;
@@ -112,35 +112,35 @@
     }
   };
 
-  void absorb(const RosterHeard& e);
-  void absorb(const LoadHeard& e);
-  void absorb(const LoadMissing& e);
-  void absorb(const HealthHeard& e);
-  void absorb(const LookedUp& e);
-  void absorb(const Retuned& e);
+  void absorb(const RosterUpdate& e);
+  void absorb(const LoadReport& e);
+  void absorb(const LoadPollFailed& e);
+  void absorb(const HealthCheckResult& e);
+  void absorb(const GroupLookup& e);
+  void absorb(const SettingsReloaded& e);
   void absorb(const ForwarderJoined& e);
   void absorb(const ForwarderLeft& e);
-  void absorb(const ForwarderMet& e);
-  void absorb(const ForwarderHolds& e);
-  void absorb(const PersonOrders& e);
-  void absorb(const Recalled& e);
-  void absorb(const GroupLed& e);
-  void absorb(const Followed& e);
-  void recall_backend(BackendId id, Row& row, Memory& memory);
+  void absorb(const ForwarderReport& e);
+  void absorb(const ForwarderAppliedTable& e);
+  void absorb(const OperatorCommand& e);
+  void absorb(const FactsReceived& e);
+  void absorb(const GroupLeadership& e);
+  void absorb(const LeaderTable& e);
+  void recall_backend(BackendId id, Row& row, PolicySnapshot& memory);
   void end_care();
   void decide_spill(const std::vector<Event>& reports);
   void share_cuts();
   [[nodiscard]] std::vector<double> parts_of_cut(const Table& table, ZoneId proxies,
                                                  const std::vector<double>& in_table) const;
-  [[nodiscard]] spill::Trips trips(const std::vector<Event>& reports);
+  [[nodiscard]] spillover::ZoneLatencies trips(const std::vector<Event>& reports);
   [[nodiscard]] TablePtr spilled(TablePtr table, ZoneId proxies);
   [[nodiscard]] std::map<BackendId, double> lines_for(ProxyId forwarder, const Table& table) const;
   [[nodiscard]] TablePtr table_of_group(ProxyId group) const;
-  [[nodiscard]] std::string refusal(const PersonOrders& e) const;
+  [[nodiscard]] std::string refusal(const OperatorCommand& e) const;
   [[nodiscard]] std::string proxy_name(ProxyId proxy) const;
   void want_tables();
   [[nodiscard]] TablePtr guarded(TablePtr table);
-  [[nodiscard]] std::shared_ptr<const WantedTable> wanted_table(ProxyId forwarder, const Table& table);
+  [[nodiscard]] std::shared_ptr<const DesiredTable> wanted_table(ProxyId forwarder, const Table& table);
   void share_limits();
   void deal_retries();
   void forget_old();
@@ -151,13 +151,14 @@
   void publish();
   [[nodiscard]] std::vector<Line> standing(OperationId operation) const;
   [[nodiscard]] bool warm(const Row& row) const;
-  void note(Note::Weight weight, std::string event, std::vector<std::pair<std::string, std::string>> fields);
+  void note(LogEvent::Severity weight, std::string event,
+            std::vector<std::pair<std::string, std::string>> fields);
 
   Settings s_;
-  Decide decide_;
+  DecisionMaker decide_;
   std::shared_ptr<const GroupMap> group_map_;
-  Evidence evidence_;
-  Attendance attendance_{s_};
+  ReportAggregator evidence_;
+  ProxyPresence attendance_{s_};
   Channel channel_{s_};
 
   Instant now_;
@@ -166,8 +167,8 @@
   std::map<std::string, BackendId> ids_;
   std::map<BackendId, Row> rows_;
   std::uint32_t next_id_ = 1;
-  std::map<BackendId, Doubt> doubts_;  // the last of each, so that only a change is logged
-  std::set<BackendId> unheard_;        // whose load did not come the last time
+  std::map<BackendId, SampleFault> doubts_;  // the last of each, so that only a change is logged
+  std::set<BackendId> unheard_;              // whose load did not come the last time
   // A step looks at those that something was heard of, not at the fleet: steps come by the hundred a second.
   std::set<BackendId> touched_;
   std::set<BackendId> untold_;  // listed, and the module does not know yet
@@ -187,10 +188,10 @@
   std::map<TableId, std::pair<std::pair<std::uint64_t, std::uint64_t>, TablePtr>> guarded_;
   std::uint64_t guards_ = 0;  // grows when a guard may judge otherwise
   // Tables by zone of proxies, where flows between zones are decided.
-  std::optional<spill::Spill> spill_;
+  std::optional<spillover::SpilloverPlanner> spill_;
   std::vector<std::vector<double>> parts_of_zones_;
   std::vector<std::vector<int>> turn_to_;
-  std::deque<std::vector<spill::Problem::Class>> demands_;  // the last rounds'
+  std::deque<std::vector<spillover::FlowProblem::OperationDemand>> demands_;  // the last rounds'
   std::map<std::pair<TableId, ZoneId>, double> cut_shares_;
   std::map<std::pair<std::size_t, std::size_t>, std::deque<Span>> trips_;  // the last rounds'
   std::vector<bool> tiers_doubted_;
@@ -221,18 +222,19 @@
   std::map<ProxyId, Instant> group_seen_;
   std::map<ProxyId, TablePtr> followed_;  // of groups that are led elsewhere
   std::set<ProxyId> led_elsewhere_;
-  Persons persons_;
+  OperatorOverrides persons_;
   std::optional<Instant> person_next_;
   bool hold_ = false;
   std::optional<Instant> hold_ordered_;
-  limits::FleetLimit limit_;
-  limits::FleetLimit::Parts parts_;
+  limits::FleetRateLimit limit_;
+  limits::FleetRateLimit::Allocations parts_;
   limits::RetryBudget retries_;
   std::uint64_t table_version_ = 0, view_version_ = 0, publish_version_ = 0;
   bool listed_once_ = false, dirty_ = true;
-  std::shared_ptr<const std::map<BackendId, Known>> directory_;
+  std::shared_ptr<const std::map<BackendId, DirectoryEntry>> directory_;
   std::vector<std::vector<Line>> standing_;  // by operation, as last published
-  std::map<std::pair<std::uint64_t, OperationId>, std::shared_ptr<const View>> views_;  // by table version
+  std::map<std::pair<std::uint64_t, OperationId>, std::shared_ptr<const RoutingView>>
+      views_;  // by table version
   Counters counters_;
 };
 
--- a/src/coordinator/groups.cpp
+++ b/src/coordinator/groups.cpp
@@ -22,7 +22,7 @@
       by_length_[prefix.length + (prefix.address.v6 ? 1000 : 0)].insert_or_assign(prefix.address, kForwarded);
 }
 
-ProxyId GroupMap::of(const Address& source) const {
+ProxyId GroupMap::group_of(const Address& source) const {
   for (const auto& [key, prefixes] : by_length_) {
     if ((key >= 1000) != source.v6) continue;
     const auto it = prefixes.find(masked(source, key % 1000));
@@ -35,24 +35,24 @@
   return std::any_of(trusted_.begin(), trusted_.end(), [&](const Prefix& p) { return p.covers(resolver); });
 }
 
-std::vector<Event> Attendance::looked_up(Instant now, ProxyId group) {
+std::vector<Event> ProxyPresence::looked_up(Instant now, ProxyId group) {
   const bool fresh = seen_.insert_or_assign(group, now).second;
   if (!fresh) return {};
   return {ProxyJoined{group, s_->groups[group.value].zone, usual_rate(group)}};
 }
 
-std::vector<Event> Attendance::joined(Instant now, ProxyId forwarder) {
-  const std::size_t place = forwarder.value - kFirstForwarder;
+std::vector<Event> ProxyPresence::joined(Instant now, ProxyId forwarder) {
+  const std::size_t place = forwarder.value - kFirstForwarderId;
   if (place >= s_->forwarders.size() || !seen_.insert_or_assign(forwarder, now).second) return {};
   return {ProxyJoined{forwarder, s_->forwarders[place].zone, usual_rate(forwarder)}};
 }
 
-std::vector<Event> Attendance::left(ProxyId forwarder) {
+std::vector<Event> ProxyPresence::left(ProxyId forwarder) {
   if (seen_.erase(forwarder) == 0) return {};
   return {ProxyLeft{forwarder}};
 }
 
-std::vector<Event> Attendance::leave_idle(Instant now) {
+std::vector<Event> ProxyPresence::leave_idle(Instant now) {
   std::vector<Event> events;
   std::erase_if(seen_, [&](const auto& row) {
     if (is_forwarder(row.first) || now - row.second < s_->group_idle) return false;
@@ -62,11 +62,11 @@
   return events;
 }
 
-void Attendance::arrived(const std::vector<Event>& reports) {
+void ProxyPresence::arrived(const std::vector<Event>& reports) {
   std::map<ProxyId, double> now;
   for (const auto& event : reports)
-    if (const auto* d = std::get_if<DemandReport>(&event); d != nullptr && d->over > Span{})
-      now[d->proxy] += d->arrived / d->over.seconds();
+    if (const auto* d = std::get_if<DemandReport>(&event); d != nullptr && d->interval > Span{})
+      now[d->proxy] += d->arrived / d->interval.seconds();
   for (const auto& [group, rate] : now) {
     auto& log = rates_[group];
     log.push_back(rate);
@@ -74,10 +74,10 @@
   }
 }
 
-double Attendance::usual_rate(ProxyId group) const {
+double ProxyPresence::usual_rate(ProxyId group) const {
   const auto it = rates_.find(group);
   if (it == rates_.end())
-    return is_forwarder(group) ? s_->forwarders[group.value - kFirstForwarder].usual_rate
+    return is_forwarder(group) ? s_->forwarders[group.value - kFirstForwarderId].usual_rate
                                : s_->groups[group.value].usual_rate;
   std::vector<double> sorted{it->second.begin(), it->second.end()};
   const auto middle = sorted.begin() + static_cast<std::ptrdiff_t>(sorted.size() / 2);
--- a/src/coordinator/groups.hpp
+++ b/src/coordinator/groups.hpp
@@ -13,7 +13,7 @@
  public:
   explicit GroupMap(const Settings& settings);
   // kForwarded: a forwarder's own address, which reports for itself.
-  [[nodiscard]] ProxyId of(const Address& source) const;
+  [[nodiscard]] ProxyId group_of(const Address& source) const;
   static constexpr ProxyId kForwarded{65535};
   // Whether a resolver's word on its client's subnet counts; anyone else's could point at any group.
   [[nodiscard]] bool trusts(const Address& resolver) const;
@@ -25,9 +25,9 @@
 };
 
 // A group is in service from its first lookup until none came for a stated time.
-class Attendance {
+class ProxyPresence {
  public:
-  explicit Attendance(const Settings& settings) : s_{&settings} {}
+  explicit ProxyPresence(const Settings& settings) : s_{&settings} {}
   [[nodiscard]] std::vector<Event> looked_up(Instant now, ProxyId group);
   // Of a forwarder: its stream stands, or broke.
   [[nodiscard]] std::vector<Event> joined(Instant now, ProxyId forwarder);
--- a/src/coordinator/persons.cpp
+++ b/src/coordinator/operator_overrides.cpp
@@ -1,4 +1,4 @@
-#include "coordinator/persons.hpp"
+#include "coordinator/operator_overrides.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -21,11 +21,11 @@
 
 }  // namespace
 
-void Persons::set_weight(Instant now, const std::string& backend, double weight, Span lifetime) {
+void OperatorOverrides::set_weight(Instant now, const std::string& backend, double weight, Span lifetime) {
   weights_[backend] = {weight, now + lifetime, now};
 }
 
-double Persons::share(const Zone& zone, Instant now) {
+double OperatorOverrides::share(const Zone& zone, Instant now) {
   if (zone.down) {
     const double left = zone.from - kDown * (steps(zone.since, now, kDownEvery) + 1);
     return left < 1e-9 ? 0 : left;
@@ -33,24 +33,25 @@
   return std::min(1.0, std::max(zone.from, kTrial) + kUp * steps(zone.since, now, kUpEvery));
 }
 
-void Persons::drain(Instant now, const std::string& zone) {
+void OperatorOverrides::drain(Instant now, const std::string& zone) {
   const auto it = zones_.find(zone);
   if (it != zones_.end() && it->second.down) return;
   zones_[zone] = {true, it == zones_.end() ? 1 : share(it->second, now), now};
 }
 
-void Persons::undrain(Instant now, const std::string& zone) {
+void OperatorOverrides::undrain(Instant now, const std::string& zone) {
   const auto it = zones_.find(zone);
   if (it == zones_.end() || !it->second.down) return;
   it->second = {false, share(it->second, now), now};
 }
 
-bool Persons::drained(const std::string& zone) const {
+bool OperatorOverrides::drained(const std::string& zone) const {
   const auto it = zones_.find(zone);
   return it != zones_.end() && it->second.down;
 }
 
-Persons::Say Persons::of(const std::string& backend, const std::string& zone, Instant now) const {
+OperatorOverrides::Say OperatorOverrides::of(const std::string& backend, const std::string& zone,
+                                             Instant now) const {
   Say say;
   if (const auto it = weights_.find(backend); it != weights_.end() && now < it->second.until)
     say.weight = it->second.weight;
@@ -59,21 +60,21 @@
   return say;
 }
 
-bool Persons::recall(const std::string& backend, const Weight& weight) {
+bool OperatorOverrides::recall(const std::string& backend, const Weight& weight) {
   const auto it = weights_.find(backend);
   if (it != weights_.end() && it->second.ordered >= weight.ordered) return false;
   weights_[backend] = weight;
   return true;
 }
 
-bool Persons::recall(const std::string& backend, const Out& out) {
+bool OperatorOverrides::recall(const std::string& backend, const Out& out) {
   const auto it = out_.find(backend);
   if (it != out_.end() && it->second.ordered >= out.ordered) return false;
   out_[backend] = out;
   return true;
 }
 
-bool Persons::recall(const std::string& zone, const Zone& order) {
+bool OperatorOverrides::recall(const std::string& zone, const Zone& order) {
   const auto it = zones_.find(zone);
   if (it != zones_.end() && it->second.since >= order.since) return false;
   if (it == zones_.end() && !order.down) return false;  // it is up already
@@ -81,14 +82,14 @@
   return true;
 }
 
-bool Persons::forget_zone(const std::string& zone, Instant before) {
+bool OperatorOverrides::forget_zone(const std::string& zone, Instant before) {
   const auto it = zones_.find(zone);
   if (it == zones_.end() || it->second.since >= before) return false;
   zones_.erase(it);
   return true;
 }
 
-std::optional<Instant> Persons::next_change(Instant now) {
+std::optional<Instant> OperatorOverrides::next_change(Instant now) {
   std::optional<Instant> next;
   const auto at = [&](Instant when) { next = std::min(next.value_or(when), when); };
   std::erase_if(out_, [&](const auto& row) { return !row.second.out && now - row.second.ordered > kTold; });
--- a/src/coordinator/persons.hpp
+++ b/src/coordinator/operator_overrides.hpp
@@ -10,7 +10,7 @@
 
 namespace gorsemount::coordinator {
 
-class Persons {
+class OperatorOverrides {
  public:
   void set_weight(Instant now, const std::string& backend, double weight, Span lifetime);
   void disable(Instant now, const std::string& backend) { out_[backend] = {true, now}; }
--- a/src/coordinator/evidence.cpp
+++ b/src/coordinator/report_aggregator.cpp
@@ -1,4 +1,4 @@
-#include "coordinator/evidence.hpp"
+#include "coordinator/report_aggregator.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -32,22 +32,22 @@
 
 }  // namespace
 
-const char* name_of(Doubt doubt) {
+const char* name_of(SampleFault doubt) {
   constexpr const char* names[] = {"none", "late", "contradicting", "out_of_range", "went_back"};
   return names[static_cast<std::size_t>(doubt)];
 }
 
-Evidence::Evidence(const Settings& settings, std::function<ProxyId(const Address&)> group_of)
+ReportAggregator::ReportAggregator(const Settings& settings, std::function<ProxyId(const Address&)> group_of)
     : s_{settings}, group_of_{std::move(group_of)} {}
 
-Doubt Evidence::load(Instant now, BackendId backend, Instant asked, const LoadSample& sample) {
+SampleFault ReportAggregator::load(Instant now, BackendId backend, Instant asked, const LoadSample& sample) {
   Row& row = rows_[backend];
   for (const auto& c : sample.counts)
     if (c.succeeded + c.errored > c.taken || !std::isfinite(c.latency) || c.latency < 0)
-      return Doubt::contradicting;
-  if (!std::isfinite(sample.uptime) || sample.uptime < 0) return Doubt::out_of_range;
+      return SampleFault::contradicting;
+  if (!std::isfinite(sample.uptime) || sample.uptime < 0) return SampleFault::out_of_range;
 
-  Doubt doubt = Doubt::none;
+  SampleFault doubt = SampleFault::none;
   if (!row.last || row.last->boot != sample.boot) {
     // Another process: nothing of the one before counts, and its counters start at nothing.
     row = Row{};
@@ -60,23 +60,24 @@
       const Counts& old = was->second;
       if (c.taken < old.taken || c.succeeded < old.succeeded || c.errored < old.errored ||
           c.refused < old.refused || c.latency < old.latency - 1e-6)
-        return Doubt::went_back;  // the same process can't have done less: an old reply, or a false one
+        return SampleFault::went_back;  // the same process can't have done less: an old reply, or a false one
     }
-    if (sample.uptime + 1e-3 < row.last->uptime) return Doubt::went_back;
+    if (sample.uptime + 1e-3 < row.last->uptime) return SampleFault::went_back;
   }
   row.draining = sample.draining;
   row.refused = 0;  // whatever listens there now has answered
   // A load that travelled long tells of another time; counters only ever grow and stay true.
-  if (now - asked > s_.late_after) doubt = Doubt::late;
-  if (contradicts(sample)) doubt = Doubt::contradicting;
-  if (!in_range(sample)) doubt = Doubt::out_of_range;
-  row.busy = doubt == Doubt::none && sample.util ? std::optional{std::min(1.0, *sample.util)} : std::nullopt;
+  if (now - asked > s_.late_after) doubt = SampleFault::late;
+  if (contradicts(sample)) doubt = SampleFault::contradicting;
+  if (!in_range(sample)) doubt = SampleFault::out_of_range;
+  row.busy =
+      doubt == SampleFault::none && sample.util ? std::optional{std::min(1.0, *sample.util)} : std::nullopt;
   count(now, row, sample);
   row.last = sample;
   return doubt;
 }
 
-void Evidence::count(Instant now, Row& row, const LoadSample& sample) {
+void ReportAggregator::count(Instant now, Row& row, const LoadSample& sample) {
   std::uint64_t taken = 0, ended = 0;
   for (const auto& c : sample.counts) {
     taken += c.taken, ended += c.succeeded + c.errored;
@@ -120,11 +121,11 @@
   }
 }
 
-void Evidence::health(BackendId backend, Health health, Span took) {
+void ReportAggregator::health(BackendId backend, Health health, Span took) {
   Row& row = rows_[backend];
   Tally& tally = row.tallies[s_.zone];
   tally.tries += 1;
-  if (health == Health::well) {
+  if (health == Health::passed) {
     tally.waited += took.seconds();
   } else {
     tally.errored += 1;
@@ -134,12 +135,12 @@
   if (row.refused >= kRefusals) row.last.reset(), row.counted.clear(), row.history.clear(), row.given_up = 0;
 }
 
-bool Evidence::absent(BackendId backend) const {
+bool ReportAggregator::absent(BackendId backend) const {
   const auto row = rows_.find(backend);
   return row != rows_.end() && row->second.refused >= kRefusals;
 }
 
-bool Evidence::met(const ForwarderMet& met, ZoneId zone) {
+bool ReportAggregator::met(const ForwarderReport& met, ZoneId zone) {
   for (const auto& r : met.rows)
     if (r.errored < 0 || r.errored > r.tries || r.mean_latency < Span{} ||
         r.mean_latency > Span::seconds(3600))
@@ -154,24 +155,24 @@
   return true;
 }
 
-void Evidence::forget(BackendId backend) { rows_.erase(backend); }
+void ReportAggregator::forget(BackendId backend) { rows_.erase(backend); }
 
-std::optional<Instant> Evidence::started(BackendId backend) const {
+std::optional<Instant> ReportAggregator::started(BackendId backend) const {
   const auto row = rows_.find(backend);
   return row == rows_.end() ? std::nullopt : row->second.started;
 }
 
-bool Evidence::draining(BackendId backend) const {
+bool ReportAggregator::draining(BackendId backend) const {
   const auto row = rows_.find(backend);
   return row != rows_.end() && row->second.draining;
 }
 
-bool Evidence::introduced(BackendId backend) const {
+bool ReportAggregator::introduced(BackendId backend) const {
   const auto row = rows_.find(backend);
   return row != rows_.end() && row->second.last.has_value();
 }
 
-std::vector<Event> Evidence::round(Instant now) {
+std::vector<Event> ReportAggregator::round(Instant now) {
   const Span over = round_at_ ? now - *round_at_ : s_.report_every;
   round_at_ = now;
   std::vector<Event> events;
--- a/src/coordinator/evidence.hpp
+++ b/src/coordinator/report_aggregator.hpp
@@ -11,20 +11,20 @@
 
 namespace gorsemount::coordinator {
 
-enum class Doubt { none, late, contradicting, out_of_range, went_back };
-[[nodiscard]] const char* name_of(Doubt doubt);
+enum class SampleFault { none, late, contradicting, out_of_range, went_back };
+[[nodiscard]] const char* name_of(SampleFault doubt);
 
-class Evidence {
+class ReportAggregator {
  public:
   // `group_of` tells whose clients a source belongs to.
-  Evidence(const Settings& settings, std::function<ProxyId(const Address&)> group_of);
+  ReportAggregator(const Settings& settings, std::function<ProxyId(const Address&)> group_of);
 
   // Of a load reply; what of it is doubted. A reply may be partly of use: figures out of range void the load,
   // not the counts.
-  Doubt load(Instant now, BackendId backend, Instant asked, const LoadSample& sample);
+  SampleFault load(Instant now, BackendId backend, Instant asked, const LoadSample& sample);
   void health(BackendId backend, Health health, Span took);
   // Of a forwarder; false: its figures can't be, and none of them is taken.
-  bool met(const ForwarderMet& met, ZoneId zone);
+  bool met(const ForwarderReport& met, ZoneId zone);
   void forget(BackendId backend);
 
   // When its process started, as far as it matters: absent if unknown or long ago.
--- a/src/coordinator/remember.cpp
+++ b/src/coordinator/state_transfer.cpp
@@ -9,8 +9,8 @@
 
 using recovery::Entry;
 using recovery::Fact;
+using recovery::FactKind;
 using recovery::Facts;
-using recovery::Kind;
 
 namespace {
 
@@ -24,13 +24,13 @@
 // be idle.
 const Span kSeenNews = Span::seconds(2.5);
 
-Fact of_rung(const Memory::Rung& rung, Instant now) {
+Fact of_rung(const PolicySnapshot::ShareState& rung, Instant now) {
   Fact f;
   f.figures = {{"share", rung.share},
-               {"falling", rung.falling ? 1 : 0},
-               {"eased", rung.eased ? 1 : 0},
-               {"relapses", rung.relapses}};
-  f.times = {{"next", now + rung.next_in}, {"changed", now - rung.changed_ago}};
+               {"falling", rung.reducing ? 1 : 0},
+               {"eased", rung.was_slow ? 1 : 0},
+               {"relapses", rung.failed_trials}};
+  f.times = {{"next", now + rung.next_step_in}, {"changed", now - rung.since_change}};
   return f;
 }
 
@@ -44,15 +44,15 @@
 }
 
 // Out of range is what no ladder can be; empty then.
-std::optional<Memory::Rung> rung_of(const Fact& f, Instant now) {
-  Memory::Rung rung;
-  rung.share = figure(f, "share", -1), rung.falling = figure(f, "falling", 0) > 0,
-  rung.eased = figure(f, "eased", 0) > 0;
+std::optional<PolicySnapshot::ShareState> rung_of(const Fact& f, Instant now) {
+  PolicySnapshot::ShareState rung;
+  rung.share = figure(f, "share", -1), rung.reducing = figure(f, "falling", 0) > 0,
+  rung.was_slow = figure(f, "eased", 0) > 0;
   const double relapses = figure(f, "relapses", 0);
   if (!(rung.share >= 0 && rung.share <= 1) || !(relapses >= 0 && relapses <= 1000)) return {};
-  rung.relapses = static_cast<int>(relapses);
-  rung.next_in = time_of(f, "next").value_or(now) - now,
-  rung.changed_ago = now - time_of(f, "changed").value_or(now);
+  rung.failed_trials = static_cast<int>(relapses);
+  rung.next_step_in = time_of(f, "next").value_or(now) - now,
+  rung.since_change = now - time_of(f, "changed").value_or(now);
   return rung;
 }
 
@@ -69,53 +69,56 @@
     if (const auto started = evidence_.started(id)) f.times["started"] = *started;
     return f;
   };
-  if (decide_.remember) {
-    const Memory m = decide_.remember(now_);
+  if (decide_.export_state) {
+    const PolicySnapshot m = decide_.export_state(now_);
     for (const auto& [zone, rung] : m.zones)
-      if (zone.value < s_.zones.size()) all[{Kind::zone_ladder, s_.zones[zone.value]}] = of_rung(rung, now_);
+      if (zone.value < s_.zones.size())
+        all[{FactKind::zone_ladder, s_.zones[zone.value]}] = of_rung(rung, now_);
     for (const auto& [key, rung] : m.links)
       if (key.first.value < s_.zones.size() && key.second.value < s_.zones.size())
-        all[{Kind::link_ladder, s_.zones[key.first.value] + ">" + s_.zones[key.second.value]}] =
+        all[{FactKind::link_ladder, s_.zones[key.first.value] + ">" + s_.zones[key.second.value]}] =
             of_rung(rung, now_);
     for (const auto& [id, rung] : m.backends)
-      if (rows_.contains(id)) all[{Kind::backend_ladder, name_at(id)}] = of_machine(id, of_rung(rung, now_));
+      if (rows_.contains(id))
+        all[{FactKind::backend_ladder, name_at(id)}] = of_machine(id, of_rung(rung, now_));
     Fact carried;
-    for (std::size_t k = 0; k < m.able.size(); ++k) carried.figures[std::to_string(k)] = m.able[k];
-    if (!m.able.empty()) all[{Kind::carried, "fleet"}] = carried;
+    for (std::size_t k = 0; k < m.capacity_samples.size(); ++k)
+      carried.figures[std::to_string(k)] = m.capacity_samples[k];
+    if (!m.capacity_samples.empty()) all[{FactKind::carried, "fleet"}] = carried;
   }
   for (const auto& [id, row] : rows_) {
     if (!row.told) continue;
     if (row.told->availability == Availability::draining && !persons_.out(row.entry.name))
-      all[{Kind::drain, row.entry.name}] = of_machine(id, {});
+      all[{FactKind::drain, row.entry.name}] = of_machine(id, {});
     if (!warm(row) && row.told->availability == Availability::ready) {
       Fact cold = of_machine(id, {});
       cold.times["started"] = *row.told->started;
-      all[{Kind::cold_start, row.entry.name}] = cold;
+      all[{FactKind::cold_start, row.entry.name}] = cold;
     }
   }
   for (const auto& [proxy, seen] : attendance_.present()) {
-    all[{Kind::usual_rate, proxy_name(proxy)}].figures["rate"] = attendance_.usual_rate(proxy);
+    all[{FactKind::usual_rate, proxy_name(proxy)}].figures["rate"] = attendance_.usual_rate(proxy);
     if (!is_forwarder(proxy)) {
       const auto bound = bound_.find(proxy);
       if (bound != bound_.end())
-        all[{Kind::group_table, proxy_name(proxy)}].figures["table"] = bound->second.value;
+        all[{FactKind::group_table, proxy_name(proxy)}].figures["table"] = bound->second.value;
     }
   }
   for (const auto& [proxy, seen] : group_seen_)
     if (now_ - seen < s_.group_idle) {
       // In steps, so that it is news now and then and not with each lookup.
       const auto steps = (seen - Instant{}).micros() / kSeenNews.micros();
-      all[{Kind::group_seen, proxy_name(proxy)}].times["seen"] =
+      all[{FactKind::group_seen, proxy_name(proxy)}].times["seen"] =
           Instant{} + Span::micros(steps * kSeenNews.micros());
     }
-  for (const auto& [proxy, part] : retries_.parts())
+  for (const auto& [proxy, part] : retries_.allocations())
     if (std::abs(part - s_.retry_share) > 1e-9)
-      all[{Kind::further_tries, proxy_name(proxy)}].figures["part"] = part;
+      all[{FactKind::further_tries, proxy_name(proxy)}].figures["part"] = part;
   for (const auto& [proxy, version] : sent_)
-    all[{Kind::sent_table, proxy_name(proxy)}].figures["version"] = static_cast<double>(version);
+    all[{FactKind::sent_table, proxy_name(proxy)}].figures["version"] = static_cast<double>(version);
   for (const auto& [proxy, version] : holds_)
     if (version > 0)
-      all[{Kind::held_table, proxy_name(proxy)}].figures["version"] = static_cast<double>(version);
+      all[{FactKind::held_table, proxy_name(proxy)}].figures["version"] = static_cast<double>(version);
   std::set<TableId> of_groups;
   for (const auto& [proxy, table] : bound_)
     if (!is_forwarder(proxy)) of_groups.insert(table);
@@ -125,39 +128,40 @@
     const std::string number = std::to_string(id.value);
     for (const auto& [backend, weight] : it->second->lines)
       if (rows_.contains(backend))
-        all[{Kind::table_lines, number + "/" + std::to_string(backend.value % kParts)}]
+        all[{FactKind::table_lines, number + "/" + std::to_string(backend.value % kParts)}]
             .figures[name_at(backend)] = weight;
     Fact levels;
     for (std::size_t k = 0; k < it->second->levels.size() && k < s_.operations.size(); ++k) {
       levels.figures["level " + s_.operations[k].name] = it->second->levels[k].level;
       levels.figures["tries " + s_.operations[k].name] = static_cast<double>(it->second->levels[k].tries);
     }
-    if (!levels.figures.empty()) all[{Kind::table_levels, number}] = levels;
+    if (!levels.figures.empty()) all[{FactKind::table_levels, number}] = levels;
   }
   for (const auto& [name, w] : persons_.weights())
-    all[{Kind::person_weight, name}] = {
+    all[{FactKind::person_weight, name}] = {
         "", {{"weight", w.weight}}, {{"until", w.until}, {"ordered", w.ordered}}};
   for (const auto& [name, o] : persons_.outs())
-    all[{Kind::person_out, name}] = {"", {{"out", o.out ? 1 : 0}}, {{"ordered", o.ordered}}};
+    all[{FactKind::person_out, name}] = {"", {{"out", o.out ? 1 : 0}}, {{"ordered", o.ordered}}};
   for (const auto& [name, z] : persons_.zones())
-    all[{Kind::person_zone, name}] = {
+    all[{FactKind::person_zone, name}] = {
         "", {{"down", z.down ? 1 : 0}, {"from", z.from}}, {{"ordered", z.since}}};
   if (hold_ordered_)
-    all[{Kind::hold, s_.zones[s_.zone.value]}] = {"", {{"on", hold_ ? 1 : 0}}, {{"ordered", *hold_ordered_}}};
-  all[{Kind::fleet, "fleet"}].figures["backends"] = static_cast<double>(listed_);
+    all[{FactKind::hold, s_.zones[s_.zone.value]}] = {
+        "", {{"on", hold_ ? 1 : 0}}, {{"ordered", *hold_ordered_}}};
+  all[{FactKind::fleet, "fleet"}].figures["backends"] = static_cast<double>(listed_);
   return all;
 }
 
-bool Coordinator::zone_moves() const {
+bool Coordinator::zone_shift_in_progress() const {
   if (person_next_ && !persons_.zones().empty()) return true;
-  if (!decide_.remember) return false;
-  const Memory m = decide_.remember(now_);
+  if (!decide_.export_state) return false;
+  const PolicySnapshot m = decide_.export_state(now_);
   return std::any_of(m.zones.begin(), m.zones.end(),
-                     [](const auto& row) { return row.second.falling || row.second.share < 1; });
+                     [](const auto& row) { return row.second.reducing || row.second.share < 1; });
 }
 
-void Coordinator::absorb(const Recalled& e) {
-  Memory memory;
+void Coordinator::absorb(const FactsReceived& e) {
+  PolicySnapshot memory;
   std::map<std::string, std::uint64_t> sent, held;
   const auto zone_at = [&](const std::string& name) -> std::optional<ZoneId> {
     const auto it = std::find(s_.zones.begin(), s_.zones.end(), name);
@@ -168,95 +172,98 @@
     for (std::size_t k = 0; k < s_.groups.size(); ++k)
       if (s_.groups[k].name == name) return ProxyId{static_cast<std::uint16_t>(k)};
     for (std::size_t k = 0; k < s_.forwarders.size(); ++k)
-      if (s_.forwarders[k].name == name) return ProxyId{static_cast<std::uint16_t>(kFirstForwarder + k)};
+      if (s_.forwarders[k].name == name) return ProxyId{static_cast<std::uint16_t>(kFirstForwarderId + k)};
     return {};
   };
   bool persons = false;
-  own_memory_ = own_memory_ || e.own;
+  own_memory_ = own_memory_ || e.from_previous_run;
   for (const Entry& entry : e.facts) {
     const Fact& f = entry.fact;
     const std::string& name = entry.subject.name;
     const auto ordered = time_of(f, "ordered");
     // What is gone says so only where somebody took an order back.
-    if (entry.gone) {
-      if (entry.subject.kind == Kind::person_zone) persons |= persons_.forget_zone(name, entry.learned);
+    if (entry.deleted) {
+      if (entry.subject.kind == FactKind::person_zone) persons |= persons_.forget_zone(name, entry.learned);
       continue;
     }
     switch (entry.subject.kind) {
-      case Kind::zone_ladder:
+      case FactKind::zone_ladder:
         if (const auto zone = zone_at(name))
           if (const auto rung = rung_of(f, now_)) memory.zones[*zone] = *rung;
         break;
-      case Kind::link_ladder: {
+      case FactKind::link_ladder: {
         const auto at = name.find('>');
         if (at == std::string::npos) break;
         const auto from = zone_at(name.substr(0, at)), to = zone_at(name.substr(at + 1));
         if (const auto rung = rung_of(f, now_); rung && from && to) memory.links[{*from, *to}] = *rung;
         break;
       }
-      case Kind::backend_ladder:
+      case FactKind::backend_ladder:
         past_[name].ladder = f;
         break;
-      case Kind::drain:
+      case FactKind::drain:
         past_[name].drain = f;
         break;
-      case Kind::cold_start:
+      case FactKind::cold_start:
         if (f.times.contains("started")) past_[name].cold = f;
         break;
-      case Kind::carried:
+      case FactKind::carried:
         for (const auto& [place, able] : f.figures)
-          if (able > 0) memory.able.push_back(able);
+          if (able > 0) memory.capacity_samples.push_back(able);
         break;
-      case Kind::usual_rate:
+      case FactKind::usual_rate:
         if (const auto proxy = proxy_at(name))
           attendance_.recall(*proxy, std::clamp(figure(f, "rate", 0), 0.0, 1e6));
         break;
-      case Kind::further_tries:
+      case FactKind::further_tries:
         if (const auto proxy = proxy_at(name); proxy && is_forwarder(*proxy))
-          retries_.recall(*proxy, figure(f, "part", s_.retry_share));
+          retries_.restore(*proxy, figure(f, "part", s_.retry_share));
         break;
-      case Kind::sent_table:
+      case FactKind::sent_table:
         sent[name] = static_cast<std::uint64_t>(figure(f, "version", 0));
         break;
-      case Kind::held_table:
+      case FactKind::held_table:
         held[name] = static_cast<std::uint64_t>(figure(f, "version", 0));
         break;
-      case Kind::person_weight:
+      case FactKind::person_weight:
         if (const auto until = time_of(f, "until");
             until && ordered && *until > now_ && figure(f, "weight", 0) > 0)
-          persons |= persons_.recall(name, Persons::Weight{figure(f, "weight", 1), *until, *ordered});
+          persons |=
+              persons_.recall(name, OperatorOverrides::Weight{figure(f, "weight", 1), *until, *ordered});
         break;
-      case Kind::person_out:
-        if (ordered) persons |= persons_.recall(name, Persons::Out{figure(f, "out", 0) > 0, *ordered});
+      case FactKind::person_out:
+        if (ordered)
+          persons |= persons_.recall(name, OperatorOverrides::Out{figure(f, "out", 0) > 0, *ordered});
         break;
-      case Kind::person_zone:
+      case FactKind::person_zone:
         if (ordered && zone_at(name))
           persons |= persons_.recall(
-              name,
-              Persons::Zone{figure(f, "down", 0) > 0, std::clamp(figure(f, "from", 1), 0.0, 1.0), *ordered});
+              name, OperatorOverrides::Zone{figure(f, "down", 0) > 0,
+                                            std::clamp(figure(f, "from", 1), 0.0, 1.0), *ordered});
         break;
-      case Kind::hold:
+      case FactKind::hold:
         if (ordered && (!hold_ordered_ || *hold_ordered_ < *ordered))
           hold_ = figure(f, "on", 0) > 0, hold_ordered_ = ordered;
         break;
-      case Kind::group_seen:
+      case FactKind::group_seen:
         if (const auto proxy = proxy_at(name);
             proxy && !is_forwarder(*proxy) && !led_elsewhere_.contains(*proxy))
           if (const auto when = time_of(f, "seen"); when && now_ - *when < s_.group_idle)
-            absorb(LookedUp{*proxy});
+            absorb(GroupLookup{*proxy});
         break;
-      case Kind::group_table:
-      case Kind::table_lines:
-      case Kind::table_levels:
-      case Kind::fleet:
+      case FactKind::group_table:
+      case FactKind::table_lines:
+      case FactKind::table_levels:
+      case FactKind::fleet:
         break;
     }
   }
   for (const auto& [name, version] : sent)
     if (const auto proxy = proxy_at(name))
       half_sent_[*proxy] = !held.contains(name) || held.at(name) != version;
-  if (decide_.recall && (!memory.zones.empty() || !memory.links.empty() || !memory.able.empty()))
-    decide_.recall(now_, memory);
+  if (decide_.import_state &&
+      (!memory.zones.empty() || !memory.links.empty() || !memory.capacity_samples.empty()))
+    decide_.import_state(now_, memory);
   if (persons) person_next_ = persons_.next_change(now_);
   for (const auto& [id, row] : rows_)
     if (persons || past_.contains(row.entry.name)) touched_.insert(id);
@@ -264,7 +271,7 @@
 
 // What was remembered of a name counts for the machine that it was remembered of: its place, and its start
 // where both are known.
-void Coordinator::recall_backend(BackendId id, Row& row, Memory& memory) {
+void Coordinator::recall_backend(BackendId id, Row& row, PolicySnapshot& memory) {
   const auto it = past_.find(row.entry.name);
   if (it == past_.end()) return;
   Past& past = it->second;
@@ -296,7 +303,7 @@
   if (found == found_.end()) return table.lines;
   std::map<BackendId, double> lines;
   for (const auto& [name, weight] : found->second.lines) {
-    const auto id = id_of(name);
+    const auto id = backend_id(name);
     const auto row = id ? rows_.find(*id) : rows_.end();
     if (row == rows_.end() || !row->second.listed) continue;
     if (row->second.told && (!row->second.counts(now_, s_.removal_binds) || !table.lines.contains(*id)))
@@ -324,13 +331,13 @@
 
 // ---- Groups that another controller leads -----------------------------------------------------------------
 
-void Coordinator::absorb(const GroupLed& e) {
-  if (e.group.value >= s_.groups.size() || led_elsewhere_.contains(e.group) != e.here) return;
-  if (e.here) {
+void Coordinator::absorb(const GroupLeadership& e) {
+  if (e.group.value >= s_.groups.size() || led_elsewhere_.contains(e.group) != e.locally_led) return;
+  if (e.locally_led) {
     led_elsewhere_.erase(e.group);
     if (const auto seen = group_seen_.find(e.group);
         seen != group_seen_.end() && now_ - seen->second < s_.group_idle)
-      absorb(LookedUp{e.group});
+      absorb(GroupLookup{e.group});
     return;
   }
   // What it has stays in force till its new leader is heard.
@@ -341,14 +348,14 @@
   channel_.leave(e.group), bound_.erase(e.group);
 }
 
-void Coordinator::absorb(const Followed& e) {
+void Coordinator::absorb(const LeaderTable& e) {
   if (!led_elsewhere_.contains(e.group) || !e.fresh) return;  // not fresh: what stands, stands
   Table table;
   table.made = now_;
   for (const auto& [name, weight] : e.lines)
-    if (const auto id = id_of(name); id && weight > 0) table.lines[*id] = weight;
+    if (const auto id = backend_id(name); id && weight > 0) table.lines[*id] = weight;
   for (const auto& [tries, level] : e.levels)
-    table.levels.push_back({static_cast<FurtherTries>(std::clamp(tries, 0, 3)), std::clamp(level, 0.0, 1.0)});
+    table.levels.push_back({static_cast<RetryPolicy>(std::clamp(tries, 0, 3)), std::clamp(level, 0.0, 1.0)});
   if (table.lines.empty()) return;
   TablePtr& was = followed_[e.group];
   // Said anew, it counts for a backend that started anew, once its leader must have heard of that too.
--- a/src/coordinator/types.hpp
+++ b/src/coordinator/types.hpp
@@ -30,15 +30,15 @@
   double usual_rate = 0;  // invocations a second, till it is known better
 };
 
-// A plain proxy with a runtime socket. Its ProxyId is kFirstForwarder and its place.
+// A plain proxy with a runtime socket. Its ProxyId is kFirstForwarderId and its place.
 struct Forwarder {
   std::string name;
   ZoneId zone;
   std::vector<Prefix> sources;  // from which it calls workers: what they count of it, it reports itself
   double usual_rate = 1;
 };
-inline constexpr std::uint16_t kFirstForwarder = 30000;  // above all groups
-[[nodiscard]] inline bool is_forwarder(ProxyId proxy) { return proxy.value >= kFirstForwarder; }
+inline constexpr std::uint16_t kFirstForwarderId = 30000;  // above all groups
+[[nodiscard]] inline bool is_forwarder(ProxyId proxy) { return proxy.value >= kFirstForwarderId; }
 
 struct Settings {
   std::uint64_t seed = 0;
@@ -47,10 +47,10 @@
   std::vector<OperationInfo> operations;
   std::vector<Group> groups;  // the last one takes whoever fits nowhere else
   std::vector<Forwarder> forwarders;
-  bool spill = false;                  // flows by tiers of preference between zones (spill/spill.hpp)
-  std::vector<std::vector<int>> tier;  // [proxy zone][backend zone]: 0 own, 1 near, 2 far
-  double fleet_rate = 0;               // invocations a second that all forwarders together let in; 0: any
-  double retry_share = 0;              // of first tries that forwarders may try again; 0: as the tables say
+  bool spill = false;  // flows by tiers of preference between zones (spillover/spillover_planner.hpp)
+  std::vector<std::vector<int>> zone_tiers;  // [proxy zone][backend zone]: 0 own, 1 near, 2 far
+  double fleet_rate = 0;   // invocations a second that all forwarders together let in; 0: any
+  double retry_share = 0;  // of first tries that forwarders may try again; 0: as the tables say
   Span retry_window = Span::seconds(10);
   std::vector<Prefix> trusted_resolvers;  // whose word on a client's subnet counts (RFC 7871)
   bool levels = false;                    // admission levels are published
@@ -96,37 +96,38 @@
 
 // ---- Inputs --------------------------------------------------------------------------------------------
 
-struct RosterHeard {
+struct RosterUpdate {
   std::vector<RosterEntry> entries;  // the whole list
 };
-struct LoadHeard {
+struct LoadReport {
   BackendId backend;
-  Instant asked;
+  Instant requested_at;
   LoadSample sample;
 };
-struct LoadMissing {
+struct LoadPollFailed {
   BackendId backend;
-  std::string why;
+  std::string reason;
 };
-enum class Health { well, failed, refused };  // refused: nothing listens at its address
-struct HealthHeard {
+enum class Health { passed, failed, refused };  // refused: nothing listens at its address
+struct HealthCheckResult {
   BackendId backend;
   Health health = Health::failed;
-  Span took;
+  Span latency;
 };
-struct LookedUp {
+struct GroupLookup {
   ProxyId group;
 };
 struct ForwarderJoined {
   ProxyId forwarder;
-  bool taken_over = false;                   // another controller led it before, or may have
-  std::map<std::string, double> holds = {};  // weights of the backends that it picks, as it was found
+  bool taken_over = false;  // another controller led it before, or may have
+  std::map<std::string, double> current_weights =
+      {};  // weights of the backends that it picks, as it was found
 };
 struct ForwarderLeft {
   ProxyId forwarder;
 };
 // What a forwarder met since its last report.
-struct ForwarderMet {
+struct ForwarderReport {
   ProxyId forwarder;
   struct Row {
     BackendId backend;
@@ -139,43 +140,52 @@
   int further = 0;  // tries beyond the first of an invocation, of all operations
 };
 // It holds a version of its table, by its own answer.
-struct ForwarderHolds {
+struct ForwarderAppliedTable {
   ProxyId forwarder;
   std::uint64_t version = 0;
 };
 // What a person orders. Refused with a reason, or in force till its lifetime is over.
-struct PersonOrders {
-  enum class What { set_weight, drain_zone, undrain_zone, disable, enable, hold, release } what = What::hold;
+struct OperatorCommand {
+  enum class Action {
+    set_weight,
+    drain_zone,
+    undrain_zone,
+    disable,
+    enable,
+    hold,
+    release
+  } action = Action::hold;
   std::string name;  // of a backend or a zone
   double weight = 0;
   Span lifetime;
-  bool anyway = false;  // of a zone's drain: even if the others have not shown room for its work
+  bool force = false;  // of a zone's drain: even if the others have not shown room for its work
 };
-// What another life or another controller knew, so far as it is believed (recovery/belief.hpp).
-struct Recalled {
+// What another life or another controller knew, so far as it is believed (recovery/fact_confidence.hpp).
+struct FactsReceived {
   std::vector<recovery::Entry> facts;
-  bool own = false;  // of this coordinator's life before: its forwarders hold what it ordered
+  bool from_previous_run = false;  // of this coordinator's life before: its forwarders hold what it ordered
 };
 // In a shared fleet: whether this controller leads a group. Alone, all are led.
-struct GroupLed {
+struct GroupLeadership {
   ProxyId group;
-  bool here = true;
+  bool locally_led = true;
 };
 // What the leader of a group that is led elsewhere has it use. Not fresh: nothing is heard of a leader; what
 // stands is kept then, less what rules force, and nothing is raised.
-struct Followed {
+struct LeaderTable {
   ProxyId group;
   bool fresh = false;
   std::map<std::string, double> lines;         // by backend
   std::vector<std::pair<int, double>> levels;  // tries and level, by operation
 };
 // What a reload may change while state is kept: groups, lifetimes, sizes of answers.
-struct Retuned {
+struct SettingsReloaded {
   Settings settings;
 };
 using Input =
-    std::variant<RosterHeard, LoadHeard, LoadMissing, HealthHeard, LookedUp, Retuned, ForwarderJoined,
-                 ForwarderLeft, ForwarderMet, ForwarderHolds, PersonOrders, Recalled, GroupLed, Followed>;
+    std::variant<RosterUpdate, LoadReport, LoadPollFailed, HealthCheckResult, GroupLookup, SettingsReloaded,
+                 ForwarderJoined, ForwarderLeft, ForwarderReport, ForwarderAppliedTable, OperatorCommand,
+                 FactsReceived, GroupLeadership, LeaderTable>;
 
 // ---- What is published: immutable, swapped whole --------------------------------------------------------
 
@@ -185,37 +195,37 @@
   int tier = 0;  // 0: work is meant to go there; else only where lines of lower tiers fail
   bool operator==(const Line&) const = default;
 };
-struct Level {
-  FurtherTries tries = FurtherTries::after_proof;
+struct AdmissionLevel {
+  RetryPolicy tries = RetryPolicy::if_unprocessed;
   double level = 1;
-  bool operator==(const Level&) const = default;
+  bool operator==(const AdmissionLevel&) const = default;
 };
 // What a group's clients are to use for an operation. Lines by backend, each above 0.
-struct View {
+struct RoutingView {
   std::uint64_t version = 0;  // differs between any two views of one coordinator
   OperationId operation;
   std::vector<Line> lines;
-  Level level;
+  AdmissionLevel level;
 };
-struct Known {
+struct DirectoryEntry {
   std::string name;
   Endpoint at;
   ZoneId zone;
-  bool open = true;  // may get new work: neither draining nor gone
-  bool operator==(const Known&) const = default;
+  bool accepts_new_work = true;  // may get new work: neither draining nor gone
+  bool operator==(const DirectoryEntry&) const = default;
 };
-struct Published {
+struct PublishedState {
   std::uint64_t version = 0;
-  std::shared_ptr<const std::map<BackendId, Known>> directory;
-  std::vector<std::vector<std::shared_ptr<const View>>> views;  // by group, then by operation
-  Span lifetime;                                                // what an answer may be kept for
+  std::shared_ptr<const std::map<BackendId, DirectoryEntry>> directory;
+  std::vector<std::vector<std::shared_ptr<const RoutingView>>> views;  // by group, then by operation
+  Span lifetime;                                                       // what an answer may be kept for
 };
 
 // ---- Effects -------------------------------------------------------------------------------------------
 
 // For the log: an event's name and what belongs to it.
-struct Note {
-  enum class Weight { info, warning } weight = Weight::info;
+struct LogEvent {
+  enum class Severity { info, warning } severity = Severity::info;
   std::string event;
   std::vector<std::pair<std::string, std::string>> fields;
 };
@@ -226,36 +236,36 @@
   double waiting = 0;  // in the channel, this message included
 };
 // What a forwarder is to hold, one entry an operation. A front works out the difference to what it does hold.
-struct WantedLine {
+struct DesiredLine {
   BackendId backend;
   std::string name;
   Endpoint at;
   double weight = 0;  // above 0
   bool cold = false;
 };
-struct WantedTable {
+struct DesiredTable {
   std::uint64_t version = 0;
-  struct Part {
+  struct Operation {
     std::string operation;
-    std::vector<WantedLine> lines;
-    Level level;
-    double rate = -1;  // invocations a second that it may let in; below 0: any
+    std::vector<DesiredLine> lines;
+    AdmissionLevel level;
+    double rate_limit = -1;  // invocations a second that it may let in; below 0: any
   };
-  std::vector<Part> parts;
-  double retries = -1;             // of its first tries, that it may try again; below 0: as the levels say
-  std::vector<std::string> known;  // names of all backends that there are
+  std::vector<Operation> operations;
+  double retry_ratio = -1;  // of its first tries, that it may try again; below 0: as the levels say
+  std::vector<std::string> known_backends;  // names of all backends that there are
 };
 struct Delivery {
   ProxyId forwarder;
-  std::shared_ptr<const WantedTable> table;
+  std::shared_ptr<const DesiredTable> table;
 };
 struct Effects {
-  std::shared_ptr<const Published> published;  // absent: as before
-  std::vector<Note> notes;
+  std::shared_ptr<const PublishedState> published;  // absent: as before
+  std::vector<LogEvent> log_events;
   std::vector<Message> messages;
   std::vector<Delivery> deliveries;
-  std::vector<std::string> answers;  // to what persons ordered, in their order; empty: done
-  Instant wake_at;                   // step again by then, even with no input
+  std::vector<std::string> command_results;  // to what persons ordered, in their order; empty: done
+  Instant next_wakeup;                       // step again by then, even with no input
 };
 
 }  // namespace gorsemount::coordinator
--- a/src/coordinator/zones.cpp
+++ b/src/coordinator/zone_spillover.cpp
@@ -28,11 +28,11 @@
 
 void Coordinator::decide_spill(const std::vector<Event>& reports) {
   const std::size_t zones = s_.zones.size();
-  std::vector<spill::ZoneNow> now(zones);
+  std::vector<spillover::ZoneSample> now(zones);
   std::vector<std::pair<double, double>> busy(zones);  // sum, and of how many
   for (const auto& [id, row] : rows_)
     if (row.told && row.told->availability == Availability::ready)
-      now[row.entry.zone.value].listed += row.told->weight;
+      now[row.entry.zone.value].listed_weight += row.told->weight;
   for (const auto& [id, table] : versions_) {
     // The cuts of the shared table; a zone's own tables repeat their lines.
     if (id.value >= kFirstOwnTable) continue;
@@ -41,17 +41,17 @@
         now[row->second.entry.zone.value].weight += weight;
   }
   double mean_cost = 0, all = 0;
-  std::vector<spill::Problem::Class> classes;
+  std::vector<spillover::FlowProblem::OperationDemand> classes;
   for (const auto& op : s_.operations)
     classes.push_back({op.billed_value, op.latency_objective.seconds(), std::vector<double>(zones, 0)});
   for (const auto& event : reports)
     if (const auto* d = std::get_if<DemandReport>(&event);
-        d != nullptr && d->operation.value < classes.size() && d->over > Span{}) {
+        d != nullptr && d->operation.value < classes.size() && d->interval > Span{}) {
       const bool front = is_forwarder(d->proxy);
-      const std::size_t place = front ? d->proxy.value - kFirstForwarder : d->proxy.value;
+      const std::size_t place = front ? d->proxy.value - kFirstForwarderId : d->proxy.value;
       if (place >= (front ? s_.forwarders.size() : s_.groups.size())) continue;
       const ZoneId zone = front ? s_.forwarders[place].zone : s_.groups[place].zone;
-      const double rate = d->arrived / d->over.seconds();
+      const double rate = d->arrived / d->interval.seconds();
       classes[d->operation.value].demand[zone.value] += rate;
       mean_cost += rate * classes[d->operation.value].cost, all += rate;
     }
@@ -69,45 +69,45 @@
   // they tell only whose part of it came back.
   double came_back = 0;
   for (const auto& event : reports)
-    if (const auto* r = std::get_if<BackendReport>(&event); r != nullptr && r->over > Span{})
-      came_back += (r->tries - r->errored) / r->over.seconds();
+    if (const auto* r = std::get_if<BackendReport>(&event); r != nullptr && r->interval > Span{})
+      came_back += (r->tries - r->errored) / r->interval.seconds();
   for (const auto& event : reports)
     if (const auto* r = std::get_if<BackendReport>(&event);
-        r != nullptr && r->over > Span{} && came_back > 0) {
+        r != nullptr && r->interval > Span{} && came_back > 0) {
       const auto row = rows_.find(r->backend);
       if (row == rows_.end()) continue;
       const std::size_t z = row->second.entry.zone.value;
-      now[z].carried += (r->tries - r->errored) / r->over.seconds() / came_back * all * mean_cost;
-      if (r->busy) busy[z].first += *r->busy, busy[z].second += 1;
+      now[z].goodput += (r->tries - r->errored) / r->interval.seconds() / came_back * all * mean_cost;
+      if (r->utilization) busy[z].first += *r->utilization, busy[z].second += 1;
     }
   for (std::size_t z = 0; z < zones; ++z)
-    now[z].pressure = busy[z].second > 0 ? busy[z].first / busy[z].second : 0;
-  spill::Cut cut;
-  if (decide_.remember)
-    for (const auto& [link, rung] : decide_.remember(now_).links)
+    now[z].cpu_utilization = busy[z].second > 0 ? busy[z].first / busy[z].second : 0;
+  spillover::UnreachablePairs cut;
+  if (decide_.export_state)
+    for (const auto& [link, rung] : decide_.export_state(now_).links)
       if (rung.share < kLinkGone) cut.emplace(link.first.value, link.second.value);
   const auto d = spill_->decide(now_, now, classes, trips(reports), cut);
-  if (d.tiers_doubted != tiers_doubted_) {
-    for (std::size_t z = 0; z < d.tiers_doubted.size(); ++z)
-      if (d.tiers_doubted[z] && (tiers_doubted_.empty() || !tiers_doubted_[z]))
-        note(Note::Weight::warning, "tiers_doubted", {{"zone", s_.zones[z]}});
-    tiers_doubted_ = d.tiers_doubted;
+  if (d.tier_mismatch != tiers_doubted_) {
+    for (std::size_t z = 0; z < d.tier_mismatch.size(); ++z)
+      if (d.tier_mismatch[z] && (tiers_doubted_.empty() || !tiers_doubted_[z]))
+        note(LogEvent::Severity::warning, "tiers_doubted", {{"zone", s_.zones[z]}});
+    tiers_doubted_ = d.tier_mismatch;
   }
-  if (d.strain != strain_) {
+  if (d.overloaded != strain_) {
     std::string lost, drained;
     for (std::size_t z = 0; z < zones; ++z) {
-      if (now[z].listed > 0 && now[z].weight < 0.1 * now[z].listed)
+      if (now[z].listed_weight > 0 && now[z].weight < 0.1 * now[z].listed_weight)
         lost += (lost.empty() ? "" : " ") + s_.zones[z];
       if (persons_.drained(s_.zones[z])) drained += (drained.empty() ? "" : " ") + s_.zones[z];
     }
     // A person's drain stands all the same: whoever ordered it is told what it costs now.
-    note(Note::Weight::warning, d.strain ? "strain_began" : "strain_over",
+    note(LogEvent::Severity::warning, d.overloaded ? "strain_began" : "strain_over",
          {{"zones_lost", lost}, {"drained_by_person", drained}});
-    strain_ = d.strain;
+    strain_ = d.overloaded;
   }
   share_cuts();
-  if (d.parts.empty() || (d.parts == parts_of_zones_ && d.turn_to == turn_to_)) return;
-  parts_of_zones_ = d.parts, turn_to_ = d.turn_to;
+  if (d.shares.empty() || (d.shares == parts_of_zones_ && d.failover_tier == turn_to_)) return;
+  parts_of_zones_ = d.shares, turn_to_ = d.failover_tier;
   ++spill_version_;
 }
 
@@ -116,8 +116,8 @@
   std::map<std::pair<TableId, ZoneId>, double> share;
   std::map<ZoneId, double> all;
   for (const auto& [proxy, table] : bound_) {
-    const ZoneId zone =
-        is_forwarder(proxy) ? s_.forwarders[proxy.value - kFirstForwarder].zone : s_.groups[proxy.value].zone;
+    const ZoneId zone = is_forwarder(proxy) ? s_.forwarders[proxy.value - kFirstForwarderId].zone
+                                            : s_.groups[proxy.value].zone;
     const double rate = attendance_.usual_rate(proxy);
     share[{table, zone}] += rate, all[zone] += rate;
   }
@@ -170,18 +170,18 @@
 
 // Of each round the quickest backends' means, so that a queue is not taken for a long way; of those the
 // middle.
-spill::Trips Coordinator::trips(const std::vector<Event>& reports) {
-  spill::Trips quickest;
+spillover::ZoneLatencies Coordinator::trips(const std::vector<Event>& reports) {
+  spillover::ZoneLatencies quickest;
   for (const auto& event : reports)
     if (const auto* r = std::get_if<BackendReport>(&event);
         r != nullptr && r->tries - r->errored >= kTripTries && r->mean_latency > Span{}) {
       const auto row = rows_.find(r->backend);
       if (row == rows_.end() || !warm(row->second)) continue;
       const auto [it, fresh] =
-          quickest.try_emplace({r->proxies_in.value, row->second.entry.zone.value}, r->mean_latency);
+          quickest.try_emplace({r->proxy_zone.value, row->second.entry.zone.value}, r->mean_latency);
       if (!fresh) it->second = std::min(it->second, r->mean_latency);
     }
-  spill::Trips middle;
+  spillover::ZoneLatencies middle;
   for (const auto& [pair, span] : quickest) {
     auto& rounds = trips_[pair];
     rounds.push_back(span);
--- a/src/dns/front.cpp
+++ b/src/dns/front.cpp
@@ -8,9 +8,9 @@
 
 namespace gorsemount::dns {
 
-using coordinator::Drawn;
-using coordinator::Published;
-using coordinator::View;
+using coordinator::PublishedState;
+using coordinator::RoutingView;
+using coordinator::SampledLine;
 
 namespace {
 
@@ -82,18 +82,18 @@
 
 // Lines as records, each with the weight that it has in this answer. `base`: where the answer section begins,
 // so that addresses can point at the targets. RFC 2782: a target's name is not compressed.
-void Front::write_srv(std::string& out, std::string& glue, std::size_t base, const std::vector<Drawn>& drawn,
-                      const Ready& ready) const {
+void Front::write_srv(std::string& out, std::string& glue, std::size_t base,
+                      const std::vector<SampledLine>& drawn, const Ready& ready) const {
   // Weights count among records of one priority (RFC 2782).
   std::array<double, kTiers> heaviest{};
-  const auto tier_of = [&](const Drawn& d) {
-    return static_cast<std::size_t>(std::clamp(ready.view->lines[d.place].tier, 0, kTiers - 1));
+  const auto tier_of = [&](const SampledLine& d) {
+    return static_cast<std::size_t>(std::clamp(ready.view->lines[d.index].tier, 0, kTiers - 1));
   };
   for (const auto& d : drawn) heaviest[tier_of(d)] = std::max(heaviest[tier_of(d)], d.weight);
   for (const auto& d : drawn) {
     const std::size_t tier = tier_of(d);
-    const std::string& target = ready.targets[d.place];
-    const Endpoint& at = ready.at[d.place];
+    const std::string& target = ready.targets[d.index];
+    const Endpoint& at = ready.at[d.index];
     head(out, kOwner, Type::SRV, ready.ttl, 6 + target.size());
     // Never 0 for a line that is wanted: RFC 2782 gives such a record next to nothing.
     const double weight = std::max(1.0, std::round(d.weight / heaviest[tier] * kWeightTop));
@@ -109,12 +109,12 @@
   }
 }
 
-std::shared_ptr<Front::Ready> Front::make_ready(std::shared_ptr<const View> view) const {
+std::shared_ptr<Front::Ready> Front::make_ready(std::shared_ptr<const RoutingView> view) const {
   auto ready = std::make_shared<Ready>();
   ready->view = std::move(view);
   ready->ttl = static_cast<std::uint32_t>(published_->lifetime.seconds());
   ready->directory = published_->directory.get();
-  std::vector<Drawn> all;
+  std::vector<SampledLine> all;
   for (std::size_t k = 0; k < ready->view->lines.size(); ++k) {
     const auto& line = ready->view->lines[k];
     const auto& known = published_->directory->at(line.backend);
@@ -132,7 +132,7 @@
   return ready;
 }
 
-void Front::publish(std::shared_ptr<const Published> published,
+void Front::publish(std::shared_ptr<const PublishedState> published,
                     std::shared_ptr<const coordinator::GroupMap> groups) {
   const bool renamed = !published_ || published_->directory != published->directory;
   published_ = std::move(published);
@@ -153,7 +153,7 @@
       }
       // Draws go on where the group's last view of the operation left off.
       const std::size_t op = view->operation.value;
-      if (g < ready_.size() && op < ready_[g].size() && ready_[g][op] != ready && ready->phase.untouched())
+      if (g < ready_.size() && op < ready_[g].size() && ready_[g][op] != ready && ready->phase.unused())
         ready->phase = ready_[g][op]->phase, ready->admission = ready_[g][op]->admission;
       next[g].push_back(ready);
     }
@@ -194,8 +194,8 @@
       return;
     }
     std::vector<Endpoint> at;
-    for (const auto k :
-         coordinator::draw_equal(v6 ? ready.lines_v6 : ready.lines_v4, s_.addresses_most, ready.phase.next()))
+    for (const auto k : coordinator::sample_uniform(v6 ? ready.lines_v6 : ready.lines_v4, s_.addresses_most,
+                                                    ready.phase.next()))
       at.push_back(ready.at[places[k]]);
     addresses(w, q, at, ready.ttl, reply);
   } else if (q.type == Type::TXT) {
@@ -229,7 +229,7 @@
   const std::string* beside = &ready.glue;
   std::uint16_t lines = ready.lines;
   if (lines == 0) {
-    const auto drawn = coordinator::draw_tiers(ready.view->lines, s_.lines_most, ready.phase.next());
+    const auto drawn = coordinator::sample_tiered(ready.view->lines, s_.lines_most, ready.phase.next());
     write_srv(srv, glue, w.size(), drawn, ready);
     records = &srv, beside = &glue, lines = static_cast<std::uint16_t>(drawn.size());
   }
@@ -288,7 +288,7 @@
     source = q.subnet->source.address;
     reply.scope = q.subnet->source.length;  // the answer holds for that subnet, as far as we were told
   }
-  const ProxyId group = groups_->of(source);
+  const ProxyId group = groups_->group_of(source);
   const auto found = names_.find(q.name.substr(0, below));
   reply.code = found == names_.end() ? Code::no_name : Code::no_error;
   begin_answer(w, in, q, reply.code, true);
@@ -340,7 +340,8 @@
         // The address of one that is to get nothing new is taken back: a client that kept its name past an
         // answer's lifetime, but looks the address up, is stopped here.
         std::vector<Endpoint> at;
-        if (known.open && q.type == (known.at.address.v6 ? Type::AAAA : Type::A)) at.push_back(known.at);
+        if (known.accepts_new_work && q.type == (known.at.address.v6 ? Type::AAAA : Type::A))
+          at.push_back(known.at);
         addresses(w, q, at, static_cast<std::uint32_t>(published_->lifetime.seconds()), reply);
         break;
       }
--- a/src/dns/front.hpp
+++ b/src/dns/front.hpp
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "coordinator/admission.hpp"
-#include "coordinator/draw.hpp"
+#include "coordinator/answer_sampling.hpp"
 #include "coordinator/groups.hpp"
 #include "coordinator/types.hpp"
 #include "dns/message.hpp"
@@ -39,7 +39,7 @@
   Front(FrontSettings settings, std::shared_ptr<const coordinator::GroupMap> groups);
 
   // The newest version; what it shares with the one before is not worked out again.
-  void publish(std::shared_ptr<const coordinator::Published> published,
+  void publish(std::shared_ptr<const coordinator::PublishedState> published,
                std::shared_ptr<const coordinator::GroupMap> groups);
 
   struct Answered {
@@ -60,7 +60,7 @@
   };
   // A view ready to be sent: for each line the SRV record's parts, and the whole answer where all lines fit.
   struct Ready {
-    std::shared_ptr<const coordinator::View> view;
+    std::shared_ptr<const coordinator::RoutingView> view;
     std::uint32_t ttl = 0;
     const void* directory = nullptr;
     std::vector<std::string> targets;  // names in wire form, by line
@@ -69,15 +69,15 @@
     std::uint16_t lines = 0;
     std::vector<std::size_t> v4, v6;  // places of the lines of each family
     std::vector<coordinator::Line> lines_v4, lines_v6;
-    coordinator::Phase phase;
+    coordinator::LowDiscrepancySequence phase;
     coordinator::Admission admission;
   };
   struct Reply;
 
   void make_names();
-  [[nodiscard]] std::shared_ptr<Ready> make_ready(std::shared_ptr<const coordinator::View> view) const;
+  [[nodiscard]] std::shared_ptr<Ready> make_ready(std::shared_ptr<const coordinator::RoutingView> view) const;
   void write_srv(std::string& out, std::string& glue, std::size_t base,
-                 const std::vector<coordinator::Drawn>& drawn, const Ready& ready) const;
+                 const std::vector<coordinator::SampledLine>& drawn, const Ready& ready) const;
   void soa(Writer& w, std::uint16_t owner, std::uint32_t ttl) const;
   void answer_service(Writer& w, const Query& q, Ready& ready, Reply& reply);
   void answer_srv(Writer& w, const Query& q, Ready& ready, Reply& reply);
@@ -88,7 +88,7 @@
   Name origin_, hostmaster_, workers_;
   std::vector<Name> nameservers_;
   std::shared_ptr<const coordinator::GroupMap> groups_;
-  std::shared_ptr<const coordinator::Published> published_;
+  std::shared_ptr<const coordinator::PublishedState> published_;
   std::unordered_map<std::string, Entry> names_;            // by the labels before the origin
   std::vector<std::vector<std::shared_ptr<Ready>>> ready_;  // by group, by operation
   FrontCounters counters_;
--- a/src/forwarders/plan.cpp
+++ b/src/forwarders/plan.cpp
@@ -6,8 +6,8 @@
 
 namespace gorsemount::forwarders {
 
-using coordinator::WantedLine;
-using coordinator::WantedTable;
+using coordinator::DesiredLine;
+using coordinator::DesiredTable;
 
 namespace {
 
@@ -57,12 +57,12 @@
   std::vector<Change> changes_;
 };
 
-std::vector<Change> plan_operation(const Held& held, const WantedTable::Part& part,
+std::vector<Change> plan_operation(const Held& held, const DesiredTable::Operation& part,
                                    const std::set<std::string>& known) {
   const auto numbers = whole_weights(part.lines);
   std::map<std::string, Line> lines;
   for (std::size_t k = 0; k < part.lines.size(); ++k) {
-    const WantedLine& w = part.lines[k];
+    const DesiredLine& w = part.lines[k];
     lines[w.name] = {w.name, w.at, 0, numbers[k], true, w.cold, false};
   }
   Planner planner{held, part.operation};
@@ -135,7 +135,7 @@
 
 }  // namespace
 
-std::vector<int> whole_weights(const std::vector<WantedLine>& lines) {
+std::vector<int> whole_weights(const std::vector<DesiredLine>& lines) {
   double heaviest = 0;
   for (const auto& l : lines) heaviest = std::max(heaviest, l.weight);
   std::vector<int> numbers;
@@ -149,23 +149,24 @@
   return numbers;
 }
 
-std::map<std::string, int> values_of(const WantedTable& wanted) {
+std::map<std::string, int> values_of(const DesiredTable& wanted) {
   std::map<std::string, int> values;
-  for (const auto& part : wanted.parts) {
+  for (const auto& part : wanted.operations) {
     values["level_" + part.operation] =
         static_cast<int>(std::lround(1000 * std::clamp(part.level.level, 0.0, 1.0)));
     values["tries_" + part.operation] = static_cast<int>(part.level.tries);
     values["rate_" + part.operation] =
-        part.rate < 0 ? kNoRate : static_cast<int>(std::lround(std::min(part.rate * 10, 1.0 * kNoRate)));
+        part.rate_limit < 0 ? kNoRate
+                            : static_cast<int>(std::lround(std::min(part.rate_limit * 10, 1.0 * kNoRate)));
   }
-  if (wanted.retries >= 0) values[kRetries] = static_cast<int>(1000 * wanted.retries + 1e-9);
+  if (wanted.retry_ratio >= 0) values[kRetries] = static_cast<int>(1000 * wanted.retry_ratio + 1e-9);
   return values;
 }
 
-std::vector<Change> plan(const Held& held, const WantedTable& wanted, bool with_values) {
-  const std::set<std::string> known{wanted.known.begin(), wanted.known.end()};
+std::vector<Change> plan(const Held& held, const DesiredTable& wanted, bool with_values) {
+  const std::set<std::string> known{wanted.known_backends.begin(), wanted.known_backends.end()};
   std::vector<Change> all;
-  for (const auto& part : wanted.parts) {
+  for (const auto& part : wanted.operations) {
     // An empty part orders nothing: a forwarder is never wiped.
     if (part.lines.empty()) continue;
     auto changes = plan_operation(held, part, known);
--- a/src/forwarders/plan.hpp
+++ b/src/forwarders/plan.hpp
@@ -41,13 +41,13 @@
 // Whole weights for real ones. The scale is a power of two that brings the heaviest line to over half of the
 // range, so that it moves only when the heaviest line halves or doubles, and a line that did not change keeps
 // its number. A wanted line is never 0; a cold one is rounded down, since more than its part could tip it.
-[[nodiscard]] std::vector<int> whole_weights(const std::vector<coordinator::WantedLine>& lines);
+[[nodiscard]] std::vector<int> whole_weights(const std::vector<coordinator::DesiredLine>& lines);
 
 // The changes from `held` to `wanted`, in an order that is safe wherever it is cut off: no line that is to
 // get nothing is ever raised; and, as long as some wanted warm line keeps its address, the forwarder is never
 // left without a worker to pick if it had one, and no cold worker's weight beside the warm ones' ever exceeds
 // both what it was and what it is to be. `with_values`: whether the forwarder can take levels and rates.
-[[nodiscard]] std::vector<Change> plan(const Held& held, const coordinator::WantedTable& wanted,
+[[nodiscard]] std::vector<Change> plan(const Held& held, const coordinator::DesiredTable& wanted,
                                        bool with_values);
 
 // What a change does to a forwarder.
@@ -55,6 +55,6 @@
 
 // The names of an operation's values, and their numbers: parts in thousandths, rates in tenths a second; and
 // `retries`, of all operations together.
-[[nodiscard]] std::map<std::string, int> values_of(const coordinator::WantedTable& wanted);
+[[nodiscard]] std::map<std::string, int> values_of(const coordinator::DesiredTable& wanted);
 
 }  // namespace gorsemount::forwarders
--- a/src/hears/load_reply.hpp
+++ b/src/hears/load_reply.hpp
@@ -1,5 +1,5 @@
 // What a worker says of its load, as JSON. Only the form is judged here; whether the figures can be true is
-// for coordinator::Evidence.
+// for coordinator::ReportAggregator.
 #pragma once
 
 #include <string>
--- a/src/hears/prober.cpp
+++ b/src/hears/prober.cpp
@@ -49,12 +49,12 @@
       {"GET", s_.health_path, {}, {}, true}, s_.health_timeout, [this, id](net::HttpClient::Result r) {
         using Outcome = net::HttpClient::Outcome;
         const bool well = r.outcome == Outcome::answered && r.response.status == 200;
-        const auto health = well                            ? coordinator::Health::well
+        const auto health = well                            ? coordinator::Health::passed
                             : r.outcome == Outcome::refused ? coordinator::Health::refused
                                                             : coordinator::Health::failed;
         // One failed call proves little: more follow soon, so that the next round can tell.
         health_in(id, well ? std::max(Span{}, s_.health_every - r.took) : s_.health_again);
-        report_(coordinator::HealthHeard{id, health, r.took});
+        report_(coordinator::HealthCheckResult{id, health, r.took});
       });
 }
 
@@ -70,14 +70,14 @@
   if (asked.load.busy()) return;
   asked.load.ask({"GET", s_.load_path, {}, {}, true}, s_.load_timeout, [this, id](net::HttpClient::Result r) {
     if (r.outcome != net::HttpClient::Outcome::answered)
-      return report_(coordinator::LoadMissing{id, net::name_of(r.outcome)});
+      return report_(coordinator::LoadPollFailed{id, net::name_of(r.outcome)});
     if (r.response.status != 200)
-      return report_(coordinator::LoadMissing{id, "status " + std::to_string(r.response.status)});
+      return report_(coordinator::LoadPollFailed{id, "status " + std::to_string(r.response.status)});
     auto read = read_load(r.response.body, s_.operations);
     if (auto* sample = std::get_if<coordinator::LoadSample>(&read)) {
-      report_(coordinator::LoadHeard{id, r.asked, std::move(*sample)});
+      report_(coordinator::LoadReport{id, r.asked, std::move(*sample)});
     } else {
-      report_(coordinator::LoadMissing{id, std::get<std::string>(read)});
+      report_(coordinator::LoadPollFailed{id, std::get<std::string>(read)});
     }
   });
 }
--- a/src/lab/replay/fit.cpp
+++ b/src/lab/replay/fit.cpp
@@ -76,14 +76,14 @@
     }
     const Instant now = Instant{} + Span::micros(step.t);
     for (const auto& input : std::get<std::vector<coordinator::Input>>(decoded)) {
-      if (const auto* roster = std::get_if<coordinator::RosterHeard>(&input)) {
+      if (const auto* roster = std::get_if<coordinator::RosterUpdate>(&input)) {
         // Ids as the core gives them: in the order in which names first came.
         for (const auto& e : roster->entries) {
           const auto [it, fresh] = ids.try_emplace(e.name, BackendId{next_id});
           if (fresh) ++next_id;
           workers[it->second].name = e.name, workers[it->second].zone = e.zone.value;
         }
-      } else if (const auto* load = std::get_if<coordinator::LoadHeard>(&input)) {
+      } else if (const auto* load = std::get_if<coordinator::LoadReport>(&input)) {
         Worker& w = workers[load->backend];
         if (w.last && w.last->boot == load->sample.boot && now > w.at) {
           const double over = (now - w.at).seconds();
@@ -105,11 +105,11 @@
             w.capacity.push_back(done / over / *load->sample.util);
         }
         w.last = load->sample, w.at = now;
-      } else if (const auto* health = std::get_if<coordinator::HealthHeard>(&input)) {
+      } else if (const auto* health = std::get_if<coordinator::HealthCheckResult>(&input)) {
         Worker& w = workers[health->backend];
         if (health->health == coordinator::Health::refused && !w.down) w.down = now;
         if (health->health == coordinator::Health::failed && !w.hung && !w.down) w.hung = now;
-        if (health->health == coordinator::Health::well) {
+        if (health->health == coordinator::Health::passed) {
           if (w.down) trouble(script::TroubleKind::crash, w, *w.down, now);
           // One lost call is no trouble; a second of them is.
           if (w.hung && now - *w.hung > Span::seconds(1)) trouble(script::TroubleKind::hang, w, *w.hung, now);
--- a/src/lab/replay/same.cpp
+++ b/src/lab/replay/same.cpp
@@ -40,7 +40,7 @@
       result.stopped = "the recording does not begin where the coordinator began";
       return result;
     }
-  coordinator::Coordinator core{settings.core, coordinator::module_of(settings.core)};
+  coordinator::Coordinator core{settings.core, coordinator::policy_decision_maker(settings.core)};
   for (std::size_t k = 0; k < r.steps.size(); ++k) {
     const auto& step = r.steps[k];
     if (step.inputs.empty()) {
