--- a/src/lab/world/world.cpp
+++ b/src/lab/world/world.cpp
@@ -9,13 +9,13 @@
 #include <set>
 
 #include "config/settings.hpp"
+#include "coordinator/answer_sampling.hpp"
 #include "coordinator/baseline.hpp"
-#include "coordinator/draw.hpp"
 #include "forwarders/plan.hpp"
 #include "lab/world/worker_model.hpp"
-#include "limits/retry_meter.hpp"
-#include "recovery/belief.hpp"
-#include "shared_fleet/part.hpp"
+#include "limits/retry_limiter.hpp"
+#include "recovery/fact_confidence.hpp"
+#include "shared_fleet/cluster_adapter.hpp"
 
 namespace gorsemount::lab {
 
@@ -127,7 +127,7 @@
   std::vector<int> arrived;
   int again = 0;  // further tries since the last report
   int retries = -1;
-  limits::RetryMeter meter;
+  limits::RetryLimiter meter;
   std::optional<TroubleKind> fault;
   std::optional<Instant> unled_since;
   bool was_led = false;
@@ -135,14 +135,14 @@
   // clients
   std::vector<Instant> until;
   std::vector<std::vector<std::uint32_t>> waiting;
-  std::vector<coordinator::Phase> phases;
+  std::vector<coordinator::LowDiscrepancySequence> phases;
 };
 
 struct Stream {
   bool up = false, busy = false, taken_over = false;
   std::uint32_t life = 0;
   std::optional<std::uint64_t> term;
-  std::shared_ptr<const coordinator::WantedTable> wanted;
+  std::shared_ptr<const coordinator::DesiredTable> wanted;
   std::uint64_t holds = 0;
 };
 
@@ -157,13 +157,13 @@
   std::size_t number = 1, zone = 0;
   std::unique_ptr<Coordinator> core;
   std::unique_ptr<cluster::Cluster> cluster;
-  std::unique_ptr<shared_fleet::Part> part;
+  std::unique_ptr<shared_fleet::ClusterAdapter> part;
   bool up = false, paused = false, gathering = false;
   double rate = 1, offset = 0;
   std::vector<Input> inputs;
   std::vector<Event> missed;  // while it stood still
   std::uint32_t wake = 0, cluster_wake = 0, life = 0;
-  std::shared_ptr<const coordinator::Published> published;
+  std::shared_ptr<const coordinator::PublishedState> published;
   std::vector<Stream> streams;  // by forwarder
   std::vector<recovery::Entry> kept;
   std::optional<Instant> kept_at;             // true time
@@ -349,9 +349,10 @@
     }
   }
 
-  [[nodiscard]] coordinator::Decide decide(const coordinator::Settings& settings) const {
+  [[nodiscard]] coordinator::DecisionMaker decide(const coordinator::Settings& settings) const {
     if (s.decider == Decider::fixed_weights) return coordinator::fixed_weights();
-    return s.decider == Decider::zone_local ? coordinator::zone_local() : coordinator::module_of(settings);
+    return s.decider == Decider::zone_local ? coordinator::zone_local()
+                                            : coordinator::policy_decision_maker(settings);
   }
 
   // ---- Coordinators --------------------------------------------------------------------------------------
@@ -368,7 +369,7 @@
     for (std::size_t k = 0; k < settings.forwarders.size(); ++k)
       for (std::size_t f = 0; f < fronts.size(); ++f)
         if (fronts[f].name == settings.forwarders[k].name)
-          h.ids_of_fronts[f] = static_cast<std::uint16_t>(coordinator::kFirstForwarder + k),
+          h.ids_of_fronts[f] = static_cast<std::uint16_t>(coordinator::kFirstForwarderId + k),
           h.fronts.push_back(f);
     if (day.shared) {
       cluster::ClusterSettings c;
@@ -376,12 +377,12 @@
       for (std::size_t k = 0; k < day.coordinators.size(); ++k)
         c.members.push_back(cluster::MemberId{static_cast<std::uint16_t>(k)});
       c.shards = std::max<std::size_t>(6, fronts.size() / 12);
-      c.floor = {static_cast<std::uint64_t>(1000 + (now - begin).micros() / 1000)};
-      c.lease.length = day.lease, c.lease.drift = std::max(0.01, s.drift);
-      c.lease.renew_before = day.lease * 0.67, c.lease.ask_again = day.lease * 0.1;
+      c.term_floor = {static_cast<std::uint64_t>(1000 + (now - begin).micros() / 1000)};
+      c.lease.duration = day.lease, c.lease.max_clock_drift = std::max(0.01, s.drift);
+      c.lease.renew_before = day.lease * 0.67, c.lease.retry_interval = day.lease * 0.1;
       c.seed = s.seed * 31 + h.number;
       h.cluster = std::make_unique<cluster::Cluster>(c, local(h));
-      h.part = std::make_unique<shared_fleet::Part>(*h.cluster);
+      h.part = std::make_unique<shared_fleet::ClusterAdapter>(*h.cluster);
       after(Span{}, What::cluster_wake, index(h), ++h.cluster_wake);
       after(Span::seconds(0.25 * uniform()), What::tell, index(h), h.life);
     }
@@ -389,7 +390,8 @@
       auto entries = h.kept;
       const Instant confirmed = local(h) - (now - *h.kept_at) * h.rate;
       // As it stands on this life's clock.
-      give(h, coordinator::Recalled{recovery::believe(entries, confirmed, local(h)).acts, true});
+      give(h, coordinator::FactsReceived{recovery::select_trusted(entries, confirmed, local(h)).applicable,
+                                         true});
     }
     give_roster(h);
     for (std::size_t k = 0; k < kBuckets; ++k)
@@ -436,7 +438,7 @@
       e.availability = line.draining ? Availability::draining : Availability::ready;
       entries.push_back(std::move(e));
     }
-    give(h, coordinator::RosterHeard{std::move(entries)});
+    give(h, coordinator::RosterUpdate{std::move(entries)});
   }
 
   void step(Host& h) {
@@ -452,27 +454,27 @@
       h.streams[f].wanted = d.table;
       advance(h, f);
     }
-    for (const auto& n : effects.notes)
+    for (const auto& n : effects.log_events)
       if (!out.moments.empty() && out.moments.back().notes.size() < 20 &&
-          n.weight == coordinator::Note::Weight::warning)
+          n.severity == coordinator::LogEvent::Severity::warning)
         out.moments.back().notes.push_back(n.event);
-    at(truth(h, effects.wake_at), What::wake, index(h), ++h.wake);
+    at(truth(h, effects.next_wakeup), What::wake, index(h), ++h.wake);
   }
 
   void poll(Host& h, std::uint32_t bucket) {
     for (std::size_t w = bucket; w < workers.size(); w += kBuckets) {
-      if (!h.ids[w]) h.ids[w] = h.core->id_of(workers[w].name());
+      if (!h.ids[w]) h.ids[w] = h.core->backend_id(workers[w].name());
       if (!h.ids[w]) continue;
       const Span there = between(h.zone, workers[w].kind().zone);
       const bool cut = is_cut(h.zone, workers[w].kind().zone);
       if (!workers[w].up()) {
-        give(h, coordinator::LoadMissing{*h.ids[w], cut ? "timeout" : "refused"});
+        give(h, coordinator::LoadPollFailed{*h.ids[w], cut ? "timeout" : "refused"});
       } else if (cut || workers[w].struck() == TroubleKind::silent) {
-        give(h, coordinator::LoadMissing{*h.ids[w], "timeout"});
+        give(h, coordinator::LoadPollFailed{*h.ids[w], "timeout"});
       } else {
         // What is slow to tell, tells of the past.
         const Span late = late_load[w];
-        give(h, coordinator::LoadHeard{*h.ids[w], local(h) - there * 2 - late, workers[w].load(now)});
+        give(h, coordinator::LoadReport{*h.ids[w], local(h) - there * 2 - late, workers[w].load(now)});
       }
     }
     health(h, bucket);
@@ -495,11 +497,11 @@
       after(kHealthTimeout, What::health_failed, index(h), static_cast<std::uint32_t>(w), h.life);
       return true;
     }
-    give(h, coordinator::HealthHeard{*h.ids[w],
-                                     well      ? coordinator::Health::well
-                                     : refused ? coordinator::Health::refused
-                                               : coordinator::Health::failed,
-                                     well ? Span::seconds(*wait) + there : kHealthTimeout});
+    give(h, coordinator::HealthCheckResult{*h.ids[w],
+                                           well      ? coordinator::Health::passed
+                                           : refused ? coordinator::Health::refused
+                                                     : coordinator::Health::failed,
+                                           well ? Span::seconds(*wait) + there : kHealthTimeout});
     return well;
   }
   [[nodiscard]] bool is_cut(std::size_t a, std::size_t b) const { return cut_zones.contains({a, b}); }
@@ -525,7 +527,7 @@
   [[nodiscard]] ProxyId proxy_id(const Host& h, std::size_t f) const { return ProxyId{h.ids_of_fronts[f]}; }
 
   static std::size_t front_of(const Host& h, ProxyId id) {
-    return h.fronts.at(id.value - coordinator::kFirstForwarder);
+    return h.fronts.at(id.value - coordinator::kFirstForwarderId);
   }
 
   void stream_stands(Host& h, std::size_t f) {
@@ -533,7 +535,7 @@
     Proxy& p = proxies[f];
     st.up = true;
     if (h.cluster && p.highest > 0)
-      h.cluster->learn(local(h), h.part->shard_of(proxy_id(h, f), h.core->settings()), {p.highest});
+      h.cluster->observe_term(local(h), h.part->shard_of(proxy_id(h, f), h.core->settings()), {p.highest});
     if (st.term && s.fences) p.highest = std::max(p.highest, *st.term);
     out.takeovers += st.taken_over ? 1 : 0;
     std::map<std::string, double> holds;
@@ -546,7 +548,7 @@
   void advance(Host& h, std::size_t f) {
     Stream& st = h.streams[f];
     if (!st.up || !st.wanted || st.busy) return;
-    if (h.cluster && !h.cluster->leads(h.part->shard_of(proxy_id(h, f), h.core->settings()), local(h)))
+    if (h.cluster && !h.cluster->held_term(h.part->shard_of(proxy_id(h, f), h.core->settings()), local(h)))
       return;
     // The driver knows what the forwarder holds from its answers; the plan is made once for equal ones.
     if (!(way_wanted == st.wanted && way_from == proxies[f].held))
@@ -555,7 +557,7 @@
     if (way.empty()) {
       if (st.holds != st.wanted->version) {
         st.holds = st.wanted->version;
-        give(h, coordinator::ForwarderHolds{proxy_id(h, f), st.holds});
+        give(h, coordinator::ForwarderAppliedTable{proxy_id(h, f), st.holds});
       }
       return;
     }
@@ -596,7 +598,7 @@
     for (std::size_t f = 0; f < fronts.size(); ++f) {
       if (!h.streams[f].up) continue;
       Proxy& p = proxies[f];
-      coordinator::ForwarderMet met{proxy_id(h, f), {}, {}, std::exchange(p.again, 0)};
+      coordinator::ForwarderReport met{proxy_id(h, f), {}, {}, std::exchange(p.again, 0)};
       for (const auto key : p.touched) {
         auto& m = p.met[key];
         const auto id = h.ids[key / ops];
@@ -617,23 +619,24 @@
   void tick_cluster(Host& h) {
     for (auto& m : h.cluster->tick(local(h))) {
       const std::size_t to = m.to.value;
-      out.cluster_bytes +=
-          80 + 11 * m.rumours.size() +
-          (std::holds_alternative<cluster::News>(m.body) ? std::get<cluster::News>(m.body).facts.size() : 0);
+      out.cluster_bytes += 80 + 11 * m.updates.size() +
+                           (std::holds_alternative<cluster::ReplicationBatch>(m.body)
+                                ? std::get<cluster::ReplicationBatch>(m.body).facts.size()
+                                : 0);
       if (cut_hosts.contains({index(h), to}) || (loss > 0 && uniform() < loss)) continue;
       const std::uint32_t n = ++message_number;
       messages[n] = std::move(m);
       const double wait = 0.0005 + 0.002 * uniform() + (slow_hosts.contains({index(h), to}) ? 0.2 : 0);
       after(Span::seconds(wait), What::message, static_cast<std::uint32_t>(to), n);
     }
-    follow(h, h.part->look(local(h), h.core->settings()));
+    follow(h, h.part->poll_leadership(local(h), h.core->settings()));
     const Instant wake = truth(h, h.cluster->wake_at());
     at(std::max(now + Span::seconds(0.005), std::min(wake, now + Span::seconds(0.05))), What::cluster_wake,
        index(h), ++h.cluster_wake);
   }
-  void follow(Host& h, shared_fleet::Turn turn) {
+  void follow(Host& h, shared_fleet::ClusterUpdate turn) {
     for (auto& input : turn.inputs) give(h, std::move(input));
-    for (const auto& lead : turn.leads) {
+    for (const auto& lead : turn.lead_changes) {
       const std::size_t f = front_of(h, lead.forwarder);
       if (h.streams[f].up || lead.before) close_stream(h, f);
       if (lead.now) open_stream(h, f, lead.now->value, true);
@@ -786,7 +789,7 @@
     at(now + std::max(Span::seconds(0.001), std::min(left, op.integration_timeout * kGiveUp)),
        What::wait_over, n, inv.round);
     if (!admitted(p, inv.operation)) return done(n, End::limited);
-    p.meter.first(now);
+    p.meter.record_first_try(now);
     forward(n);
   }
   bool admitted(Proxy& p, std::size_t op) {
@@ -936,7 +939,8 @@
   bool led(std::uint32_t f) {
     for (auto& h : hosts)
       if (h.up && !h.paused && h.streams[f].up &&
-          (!h.cluster || h.cluster->leads(h.part->shard_of(proxy_id(h, f), h.core->settings()), local(h)))) {
+          (!h.cluster ||
+           h.cluster->held_term(h.part->shard_of(proxy_id(h, f), h.core->settings()), local(h)))) {
         if (auto& since = proxies[f].unled_since; since)
           out.unled.push_back((now - *since).seconds()), since.reset();
         proxies[f].was_led = true;
@@ -1000,7 +1004,8 @@
     const int most = how == 0 ? 1 : how == 3 ? 3 : 2;
     const bool proof = reply == Reply::refused;
     const bool may = how > 0 && inv.inner < most && (proof || (how >= 2 && op.may_repeat()));
-    if (may && (now - inv.forwarded) < op.integration_timeout * kFurther && p.meter.again(now, p.retries)) {
+    if (may && (now - inv.forwarded) < op.integration_timeout * kFurther &&
+        p.meter.allow_retry(now, p.retries)) {
       ++p.again;
       return forward(n);
     }
@@ -1044,7 +1049,7 @@
     for (std::size_t k = 0; k < hosts.size(); ++k) {
       Host& h = hosts[(p.first_server + k) % hosts.size()];
       if (!h.up || h.paused || !h.published || p.zone >= h.published->views.size()) continue;
-      give(h, coordinator::LookedUp{ProxyId{static_cast<std::uint16_t>(p.zone)}});
+      give(h, coordinator::GroupLookup{ProxyId{static_cast<std::uint16_t>(p.zone)}});
       const auto& view = *h.published->views[p.zone][op];
       if (day.levels && view.level.level < 1 && uniform() >= view.level.level) {
         for (const auto n : waiting) done(n, End::limited);
@@ -1054,7 +1059,7 @@
       std::vector<coordinator::Line> open;
       for (const auto& line : view.lines)
         if (const auto it = h.published->directory->find(line.backend);
-            it != h.published->directory->end() && it->second.open)
+            it != h.published->directory->end() && it->second.accepts_new_work)
           open.push_back(line);
       double upto = 0;
       const auto add = [&](std::size_t place_of, double weight) {
@@ -1062,17 +1067,17 @@
         if (w != place.end()) p.picks[op].push_back({w->second, upto += weight});
       };
       if (p.by_address) {
-        for (const auto k2 : coordinator::draw_equal(open, static_cast<std::size_t>(settings.addresses_most),
-                                                     p.phases[op].next()))
+        for (const auto k2 : coordinator::sample_uniform(
+                 open, static_cast<std::size_t>(settings.addresses_most), p.phases[op].next()))
           add(k2, 1);
       } else {
-        const auto drawn =
-            coordinator::draw_tiers(open, static_cast<std::size_t>(settings.lines_most), p.phases[op].next());
+        const auto drawn = coordinator::sample_tiered(open, static_cast<std::size_t>(settings.lines_most),
+                                                      p.phases[op].next());
         int first = INT_MAX;
-        for (const auto& d : drawn) first = std::min(first, open[d.place].tier);
+        for (const auto& d : drawn) first = std::min(first, open[d.index].tier);
         // With two tries a client gets no further than its first tier, but for one that has no line of it.
         for (const auto& d : drawn)
-          if (open[d.place].tier == first) add(d.place, d.weight);
+          if (open[d.index].tier == first) add(d.index, d.weight);
       }
       lifetime = h.published->lifetime;
       break;
@@ -1228,7 +1233,8 @@
       for (auto& h : hosts) {
         if (!h.up || fronts.empty()) continue;
         for (std::size_t k = 0; k < h.cluster->shards(); ++k)
-          leaders[k] += h.cluster->leads(cluster::ShardId{static_cast<std::uint16_t>(k)}, local(h)) ? 1 : 0;
+          leaders[k] +=
+              h.cluster->held_term(cluster::ShardId{static_cast<std::uint16_t>(k)}, local(h)) ? 1 : 0;
       }
       for (const auto& [shard, n] : leaders) out.two_led += n > 1 ? 1 : 0;
     }
@@ -1356,7 +1362,7 @@
         if (h->life != e.c) return;
         h->asking[e.b] = false;
         if (h->ids[e.b])
-          give(*h, coordinator::HealthHeard{*h->ids[e.b], coordinator::Health::failed, kHealthTimeout});
+          give(*h, coordinator::HealthCheckResult{*h->ids[e.b], coordinator::Health::failed, kHealthTimeout});
         return after(kHealthAgain, What::health_again, e.a, e.b, e.c);
       case What::health_again:
         if (h->life == e.c && h->ids[e.b] && !h->asking[e.b]) static_cast<void>(one_health(*h, e.b));
@@ -1393,7 +1399,7 @@
       case What::tell: {
         if (h->life != e.b) return;
         bool changed = false;
-        follow(*h, h->part->tell(local(*h), *h->core, changed));
+        follow(*h, h->part->exchange_facts(local(*h), *h->core, changed));
         if (changed) tick_cluster(*h);
         return after(kTellCluster, What::tell, e.a, e.b);
       }
@@ -1509,7 +1515,7 @@
   std::map<std::uint32_t, cluster::Message> messages;
   std::map<std::uint32_t, std::uint64_t> obeyed;  // the highest term, by forwarder
   std::map<std::uint32_t, Instant> joined_at;
-  std::shared_ptr<const coordinator::WantedTable> way_wanted;
+  std::shared_ptr<const coordinator::DesiredTable> way_wanted;
   forwarders::Held way_from;
   std::vector<forwarders::Change> way;
   std::set<std::pair<std::size_t, std::size_t>> cut_zones, cut_hosts, slow_hosts;
--- a/src/limits/fleet_limit.cpp
+++ b/src/limits/fleet_rate_limit.cpp
@@ -1,4 +1,4 @@
-#include "limits/fleet_limit.hpp"
+#include "limits/fleet_rate_limit.hpp"
 
 #include <algorithm>
 
@@ -15,17 +15,18 @@
 
 }  // namespace
 
-FleetLimit::FleetLimit(double rate, std::vector<Priced> operations)
+FleetRateLimit::FleetRateLimit(double rate, std::vector<PricedOperation> operations)
     : rate_{rate}, operations_{std::move(operations)} {
-  std::stable_sort(operations_.begin(), operations_.end(), [](const Priced& a, const Priced& b) {
-    return a.billed_value / a.cost > b.billed_value / b.cost;
-  });
+  std::stable_sort(operations_.begin(), operations_.end(),
+                   [](const PricedOperation& a, const PricedOperation& b) {
+                     return a.billed_value / a.cost > b.billed_value / b.cost;
+                   });
 }
 
-void FleetLimit::joined(ProxyId forwarder) { came_.try_emplace(forwarder); }
-void FleetLimit::left(ProxyId forwarder) { came_.erase(forwarder); }
+void FleetRateLimit::add_forwarder(ProxyId forwarder) { came_.try_emplace(forwarder); }
+void FleetRateLimit::remove_forwarder(ProxyId forwarder) { came_.erase(forwarder); }
 
-void FleetLimit::arrived(ProxyId forwarder, OperationId operation, int n, Span over) {
+void FleetRateLimit::record_arrivals(ProxyId forwarder, OperationId operation, int n, Span over) {
   const auto row = came_.find(forwarder);
   if (row == came_.end() || over <= Span{} || n < 0) return;
   auto& log = row->second[operation];
@@ -34,7 +35,7 @@
 }
 
 // The highest of the last samples: what came is met, as far as the rate goes.
-double FleetLimit::demand(ProxyId forwarder, OperationId operation) const {
+double FleetRateLimit::demand(ProxyId forwarder, OperationId operation) const {
   const auto row = came_.find(forwarder);
   if (row == came_.end()) return 0;
   const auto it = row->second.find(operation);
@@ -43,8 +44,8 @@
              : *std::max_element(it->second.begin(), it->second.end());
 }
 
-FleetLimit::Parts FleetLimit::parts() const {
-  Parts parts;
+FleetRateLimit::Allocations FleetRateLimit::allocations() const {
+  Allocations parts;
   if (rate_ <= 0 || came_.empty()) return parts;
   std::map<OperationId, double> wanted;
   double all = 0;
--- a/src/limits/fleet_limit.hpp
+++ b/src/limits/fleet_rate_limit.hpp
@@ -14,30 +14,30 @@
 
 namespace gorsemount::limits {
 
-struct Priced {
+struct PricedOperation {
   OperationId operation;
   double billed_value = 0;
   double cost = 1;  // of one invocation, in any unit: value for cost decides who goes first
 };
 
-class FleetLimit {
+class FleetRateLimit {
  public:
   // `rate`: invocations a second that all forwarders together may let in; 0: any.
-  FleetLimit(double rate, std::vector<Priced> operations);
+  FleetRateLimit(double rate, std::vector<PricedOperation> operations);
 
-  void arrived(ProxyId forwarder, OperationId operation, int n, Span over);
-  void joined(ProxyId forwarder);
-  void left(ProxyId forwarder);
+  void record_arrivals(ProxyId forwarder, OperationId operation, int n, Span over);
+  void add_forwarder(ProxyId forwarder);
+  void remove_forwarder(ProxyId forwarder);
 
   // What each forwarder may let in of each operation, invocations a second. Empty while all may come in.
-  using Parts = std::map<std::pair<ProxyId, OperationId>, double>;
-  [[nodiscard]] Parts parts() const;
+  using Allocations = std::map<std::pair<ProxyId, OperationId>, double>;
+  [[nodiscard]] Allocations allocations() const;
 
  private:
   [[nodiscard]] double demand(ProxyId forwarder, OperationId operation) const;
 
   double rate_;
-  std::vector<Priced> operations_;
+  std::vector<PricedOperation> operations_;
   std::map<ProxyId, std::map<OperationId, std::deque<double>>>
       came_;  // invocations a second, the last samples
 };
--- a/src/limits/retry_budget.cpp
+++ b/src/limits/retry_budget.cpp
@@ -20,13 +20,13 @@
 
 }  // namespace
 
-FurtherTries allowed(Effect effect, FurtherTries ordered) {
-  if (effect == Effect::side_effecting) return std::min(ordered, FurtherTries::after_proof);
-  if (effect == Effect::fingerprinted) return std::min(ordered, FurtherTries::one);
+RetryPolicy allowed_retries(Effect effect, RetryPolicy ordered) {
+  if (effect == Effect::side_effecting) return std::min(ordered, RetryPolicy::if_unprocessed);
+  if (effect == Effect::fingerprinted) return std::min(ordered, RetryPolicy::one);
   return ordered;
 }
 
-void RetryBudget::met(Instant now, ProxyId forwarder, int first, int further) {
+void RetryBudget::record_tries(Instant now, ProxyId forwarder, int first, int further) {
   const auto it = rows_.find(forwarder);
   if (it == rows_.end()) return;
   auto& samples = it->second.samples;
@@ -35,12 +35,12 @@
   while (!samples.empty() && now - samples.front().at > window_) samples.pop_front();
 }
 
-void RetryBudget::recall(ProxyId forwarder, double part) {
+void RetryBudget::restore(ProxyId forwarder, double part) {
   if (share_ <= 0 || !std::isfinite(part)) return;
   rows_[forwarder].part = parts_[forwarder] = std::clamp(part, 0.0, kMost * share_);
 }
 
-const RetryBudget::Parts& RetryBudget::deal(Instant now) {
+const RetryBudget::Allocations& RetryBudget::allocate(Instant now) {
   if (share_ <= 0) return parts_;
   struct Sum {
     Row* row = nullptr;
--- a/src/limits/retry_budget.hpp
+++ b/src/limits/retry_budget.hpp
@@ -15,25 +15,25 @@
 namespace gorsemount::limits {
 
 // The most that an operation of this effect may be tried again, whatever a table says.
-[[nodiscard]] FurtherTries allowed(Effect effect, FurtherTries ordered);
+[[nodiscard]] RetryPolicy allowed_retries(Effect effect, RetryPolicy ordered);
 
 class RetryBudget {
  public:
   // `share` of all first tries of the last `window` may be tried again; 0: any number, and nothing is dealt.
   RetryBudget(double share, Span window) : share_{share}, window_{window} {}
 
-  void joined(ProxyId forwarder) { rows_.try_emplace(forwarder); }
-  void left(ProxyId forwarder) { rows_.erase(forwarder); }
+  void add_forwarder(ProxyId forwarder) { rows_.try_emplace(forwarder); }
+  void remove_forwarder(ProxyId forwarder) { rows_.erase(forwarder); }
   // Of one report: first tries and further ones. Of one that has not joined: nothing.
-  void met(Instant now, ProxyId forwarder, int first, int further);
+  void record_tries(Instant now, ProxyId forwarder, int first, int further);
 
   // After a round of reports: what each forwarder may try again of its own first tries. The parts, times what
   // came to each, never add up to more than the fleet's budget. What would move by less than a quarter stays.
-  using Parts = std::map<ProxyId, double>;
-  [[nodiscard]] const Parts& deal(Instant now);
-  [[nodiscard]] const Parts& parts() const { return parts_; }
+  using Allocations = std::map<ProxyId, double>;
+  [[nodiscard]] const Allocations& allocate(Instant now);
+  [[nodiscard]] const Allocations& allocations() const { return parts_; }
   // What an earlier life, or another controller, had dealt; it stands till the reports say otherwise.
-  void recall(ProxyId forwarder, double part);
+  void restore(ProxyId forwarder, double part);
 
  private:
   struct Sample {
@@ -48,7 +48,7 @@
   double share_;
   Span window_;
   std::map<ProxyId, Row> rows_;
-  Parts parts_;
+  Allocations parts_;
 };
 
 }  // namespace gorsemount::limits
--- a/src/limits/retry_meter.hpp
+++ b/src/limits/retry_limiter.hpp
@@ -10,14 +10,14 @@
 
 namespace gorsemount::limits {
 
-class RetryMeter {
+class RetryLimiter {
  public:
   // Below so many in the window a share of them is noise.
   static constexpr double kLeast = 3;
 
-  void first(Instant now) { ++at(now).first; }
+  void record_first_try(Instant now) { ++at(now).first; }
   // Whether one may be tried again now; if so it counts. `thousandths` of first tries; below 0: any number.
-  bool again(Instant now, int thousandths) {
+  bool allow_retry(Instant now, int thousandths) {
     Bucket& bucket = at(now);
     if (thousandths >= 0) {
       double all = 0, further = 0;
--- a/src/peers/links.cpp
+++ b/src/peers/peer_transport.cpp
@@ -1,4 +1,4 @@
-#include "peers/links.hpp"
+#include "peers/peer_transport.hpp"
 
 namespace gorsemount::peers {
 
@@ -11,8 +11,8 @@
 
 }  // namespace
 
-Links::Links(net::Loop& loop, cluster::Frames& frames, const Endpoint& listen,
-             std::map<cluster::MemberId, Endpoint> others, Take take, Dropped dropped)
+PeerTransport::PeerTransport(net::Loop& loop, cluster::FrameCodec& frames, const Endpoint& listen,
+                             std::map<cluster::MemberId, Endpoint> others, Take take, Dropped dropped)
     : loop_{loop}, frames_{frames}, take_{std::move(take)}, dropped_{std::move(dropped)} {
   listener_ = std::make_unique<net::Listener>(loop_, listen, [this](net::Fd fd, const Endpoint& from) {
     if (incoming_.size() >= kIncomingMost) return;
@@ -31,7 +31,7 @@
   }
 }
 
-Links::~Links() {
+PeerTransport::~PeerTransport() {
   for (auto& [member, link] : links_) {
     loop_.cancel(link.again);
     if (link.connection) link.connection->abort();
@@ -39,7 +39,7 @@
   for (const auto& [number, connection] : std::exchange(incoming_, {})) connection->abort();
 }
 
-void Links::dial(cluster::MemberId member) {
+void PeerTransport::dial(cluster::MemberId member) {
   Link& link = links_.at(member);
   const auto again = [this, member](Span wait) {
     Link& l = links_.at(member);
@@ -62,7 +62,7 @@
   link.again = loop_.after(kDialMost, [this, member] { dial(member); });
 }
 
-void Links::send(const cluster::Message& message) {
+void PeerTransport::send(const cluster::Message& message) {
   const auto it = links_.find(message.to);
   if (it == links_.end() || !it->second.connection || !it->second.connection->open()) return;
   const std::string frame = frames_.seal(message);
@@ -71,14 +71,14 @@
   it->second.connection->send(frame);
 }
 
-void Links::drop(const std::string& from, cluster::Drop why) {
+void PeerTransport::drop(const std::string& from, cluster::Drop why) {
   ++drops_;
   if (named_.size() < 1000 && named_.emplace(from, why).second) dropped_(from, cluster::name_of(why));
 }
 
-std::size_t Links::data(const std::shared_ptr<net::Connection>& connection, const std::string& from,
-                        std::string_view bytes) {
-  const auto size = cluster::Frames::length(bytes);
+std::size_t PeerTransport::data(const std::shared_ptr<net::Connection>& connection, const std::string& from,
+                                std::string_view bytes) {
+  const auto size = cluster::FrameCodec::length(bytes);
   if (!size) return 0;
   // No frame's end can be told any more.
   if (*size > cluster::kFrameMost || *size < 2) {
--- a/src/peers/links.hpp
+++ b/src/peers/peer_transport.hpp
@@ -8,22 +8,22 @@
 #include <memory>
 #include <set>
 
-#include "cluster/frames.hpp"
+#include "cluster/frame_codec.hpp"
 #include "net/socket.hpp"
 
 namespace gorsemount::peers {
 
-class Links {
+class PeerTransport {
  public:
   using Take = std::function<void(const cluster::Message&)>;
   using Dropped = std::function<void(const std::string& from, const char* why)>;
 
   // Throws std::system_error if it can't listen.
-  Links(net::Loop& loop, cluster::Frames& frames, const Endpoint& listen,
-        std::map<cluster::MemberId, Endpoint> others, Take take, Dropped dropped);
-  ~Links();
-  Links(const Links&) = delete;
-  Links& operator=(const Links&) = delete;
+  PeerTransport(net::Loop& loop, cluster::FrameCodec& frames, const Endpoint& listen,
+                std::map<cluster::MemberId, Endpoint> others, Take take, Dropped dropped);
+  ~PeerTransport();
+  PeerTransport(const PeerTransport&) = delete;
+  PeerTransport& operator=(const PeerTransport&) = delete;
 
   // Lost if there is no stream: what is said here is said again by whoever means it.
   void send(const cluster::Message& message);
@@ -43,7 +43,7 @@
   void drop(const std::string& from, cluster::Drop why);
 
   net::Loop& loop_;
-  cluster::Frames& frames_;
+  cluster::FrameCodec& frames_;
   Take take_;
   Dropped dropped_;
   std::map<cluster::MemberId, Link> links_;
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -41,10 +41,10 @@
 // What the report lines of one time say.
 struct Sample {
   Instant heard;
-  double over = 0;  // the span of its lines, s: a round, and longer where lines wait their turn
+  double interval = 0;  // the span of its lines, s: a round, and longer where lines wait their turn
   Tally tally;
-  std::optional<double> busy;  // part of its processors in use, as it tells
-  [[nodiscard]] Instant began() const { return heard - Span::seconds(over); }
+  std::optional<double> utilization;  // part of its processors in use, as it tells
+  [[nodiscard]] Instant began() const { return heard - Span::seconds(interval); }
 };
 
 double quantile(std::vector<double> values, double part) {
@@ -76,38 +76,38 @@
 
 struct Ladder {
   double share = 1;
-  bool falling = false;  // a drain runs to its end
-  Instant next;          // earliest next step
-  Instant changed;       // when the share last moved
-  Instant bad_since;     // zones: the signal must last
-  int relapses = 0;      // trials that failed
-  bool eased = false;    // it was slow: it climbs by small steps
-
-  [[nodiscard]] bool whole() const { return share >= 1 && !falling; }
+  bool reducing = false;  // a drain runs to its end
+  Instant next;           // earliest next step
+  Instant changed;        // when the share last moved
+  Instant bad_since;      // zones: the signal must last
+  int failed_trials = 0;  // trials that failed
+  bool was_slow = false;  // it was slow: it climbs by small steps
+
+  [[nodiscard]] bool whole() const { return share >= 1 && !reducing; }
   void move(double to, Instant now, Span wait) {
     share = std::clamp(to, 0.0, 1.0), changed = now, next = now + wait;
   }
   void advance(Instant now, const Steps& steps, Verdict verdict, double trial) {
-    if (verdict == Verdict::failed && !falling && share > 0) {
-      if (share < 1) ++relapses;
-      falling = true, next = now;
+    if (verdict == Verdict::failed && !reducing && share > 0) {
+      if (share < 1) ++failed_trials;
+      reducing = true, next = now;
     }
     if (now < next) return;
-    if (falling) {
+    if (reducing) {
       move(share - steps.down, now, steps.down_every);
       // A relapse doubles the hold, three times at most: flapping must not meet the step timers.
-      if (share < 1e-9) move(0, now, steps.hold * (1 << std::min(relapses, 3))), falling = false;
+      if (share < 1e-9) move(0, now, steps.hold * (1 << std::min(failed_trials, 3))), reducing = false;
     } else if (share <= 0) {
       move(trial, now, steps.up_every);
     } else if (verdict == Verdict::slow) {
       // Slow is not broken: a quarter less, never out, and back by small steps.
-      eased = true;
+      was_slow = true;
       move(std::max(0.1, share * 0.75), now, steps.up_every * 2);
     } else if (share < 1) {
       if (verdict == Verdict::well)
-        move(share + (eased || relapses > 0 ? steps.up / 4 : steps.up), now, steps.up_every);
+        move(share + (was_slow || failed_trials > 0 ? steps.up / 4 : steps.up), now, steps.up_every);
     } else if (now - changed > steps.hold * 4) {
-      relapses = 0, eased = false;
+      failed_trials = 0, was_slow = false;
     }
   }
 };
@@ -126,7 +126,7 @@
 };
 
 struct Backend : Silo {
-  Listed::Entry listed;
+  BackendListUpdate::Entry listed;
   std::size_t cut = 0;   // the cut of the shared table that holds its line
   double line = 0;       // its weight there
   Instant line_moved;    // when that last changed
@@ -141,7 +141,7 @@
 };
 
 struct Level {
-  FurtherTries tries = FurtherTries::after_proof;
+  RetryPolicy tries = RetryPolicy::if_unprocessed;
   double level = 1;
 };
 
@@ -216,16 +216,16 @@
 
   // ---- What is heard -------------------------------------------------------------------------------
 
-  void note(const Listed& e) {
+  void note(const BackendListUpdate& e) {
     if (e.scope == ListScope::failed) {
       following = false;
       // Instances that failed together must not ask together again.
       ask_at = now + Span::seconds(std::uniform_real_distribution<>{0.2, 1.0}(chance));
       return;
     }
-    if (e.scope != ListScope::remembered) following = true;
+    if (e.scope != ListScope::cached) following = true;
     std::set<BackendId> lost;
-    if (e.scope != ListScope::changes)
+    if (e.scope != ListScope::delta)
       for (const auto& [id, b] : roster) lost.insert(id);
     for (const auto& entry : e.entries) {
       if (entry.availability == Availability::gone) {
@@ -277,20 +277,20 @@
   }
 
   void note(const DemandReport& e) {
-    if (e.over <= Span{} || e.operation.value >= s.operations.size() || !joined.contains(e.proxy)) return;
-    ++told, demand[{e.proxy, e.operation}] = e.arrived / e.over.seconds();
+    if (e.interval <= Span{} || e.operation.value >= s.operations.size() || !joined.contains(e.proxy)) return;
+    ++told, demand[{e.proxy, e.operation}] = e.arrived / e.interval.seconds();
     arrived[e.operation.value] += e.arrived;
   }
 
-  void record(Silo& silo, const BackendReport& r, double over) {
+  void record(Silo& silo, const BackendReport& r, double interval) {
     if (silo.samples.empty() || now - silo.samples.back().heard > s.report_every * 0.5)
       silo.samples.emplace_back();
     if (silo.samples.size() > kSamples) silo.samples.pop_front();
     Sample& sample = silo.samples.back();
-    sample.heard = now, sample.over = over;
+    sample.heard = now, sample.interval = interval;
     const double tries = r.tries, errored = r.errored;
     sample.tally += Tally{tries, errored, (tries - errored) * r.mean_latency.seconds()};
-    if (r.busy) sample.busy = r.busy;
+    if (r.utilization) sample.utilization = r.utilization;
     if (tries > errored) silo.answered = now;
   }
 
@@ -299,26 +299,26 @@
   void hear() {
     if (round.empty()) return;
     // Lines that wait their turn span the wait; else a longer span is a quiet time before the last round.
-    const bool waiting = static_cast<double>(told) > 0.9 * s.intake * s.report_every.seconds();
+    const bool waiting = static_cast<double>(told) > 0.9 * s.max_report_rate * s.report_every.seconds();
     std::vector<double> spans;
     std::erase_if(round, [this](const auto& r) { return !roster.contains(r.backend); });
     for (const auto& r : round)
-      spans.push_back(r.over.seconds()), flow.tries += r.tries, flow.errored += r.errored;
-    const double over =
+      spans.push_back(r.interval.seconds()), flow.tries += r.tries, flow.errored += r.errored;
+    const double interval =
         std::max(quantile(std::move(spans), waiting ? 0.5 : 0.1), 0.5 * s.report_every.seconds());
     for (const auto& r : round)
       if (const Backend& b = roster[r.backend]; b.ladder.share > 0)
-        record(links[{r.proxies_in, b.listed.zone}], r, over);
-    cycle = std::max(s.report_every.seconds(), over);
+        record(links[{r.proxy_zone, b.listed.zone}], r, interval);
+    cycle = std::max(s.report_every.seconds(), interval);
     judge_links();
     for (const auto& r : round) {
       Backend& b = roster[r.backend];
       // What is lost on a link that is cut says nothing of the backend behind it.
-      if (links[{r.proxies_in, b.listed.zone}].ladder.whole()) record(b, r, over);
+      if (links[{r.proxy_zone, b.listed.zone}].ladder.whole()) record(b, r, interval);
     }
     round.clear(), told = 0;
     sum_up();
-    const double since = levels_at ? (now - *levels_at).seconds() : over;
+    const double since = levels_at ? (now - *levels_at).seconds() : interval;
     if (levels_at && since < s.report_every.seconds() * 0.9) return;
     tried = flow.tries / since, carried = (flow.tries - flow.errored) / since, flow = {};
     weigh_demand(since);
@@ -348,10 +348,10 @@
       weights[b.cut] += b.line;
       if (b.samples.empty() || b.samples.back().began() <= fresh) continue;
       const Sample& last = b.samples.back();
-      if (now - last.heard < Span::seconds(0.95 * cycle)) due[b.cut] += last.tally.tries / last.over;
+      if (now - last.heard < Span::seconds(0.95 * cycle)) due[b.cut] += last.tally.tries / last.interval;
       if (const double own = lateness(b.tally(4, fresh - s.report_every * 2)); own > 0) late.push_back(own);
       if (b.ladder.share <= 0) continue;
-      if (last.busy) busy += *last.busy, ++tell;
+      if (last.utilization) busy += *last.utilization, ++tell;
       all.push_back(b.tally(2, fresh));
     }
     for (std::size_t k = 0; k < due.size(); ++k) due[k] /= weights[k];
@@ -578,8 +578,8 @@
   // given up early, and what it leaves running beside its repeat tips a busy fleet over. In an overload
   // operations are let in by billed value for their cost, up to what the fleet has shown it can carry.
   void want_levels() {
-    const bool by_rate = s.level_kind == LevelKind::rate;
-    wanted_levels.resize(s.operations.size(), Level{s.usual_tries, by_rate ? kNoLevel : 1});
+    const bool by_rate = s.admission_mode == AdmissionMode::rate;
+    wanted_levels.resize(s.operations.size(), Level{s.default_retries, by_rate ? kNoLevel : 1});
     struct Wish {
       OperationId operation;
       double cost, value;         // the settings tell no cost; the latency objective is their only hint of it
@@ -591,11 +591,11 @@
     for (std::size_t k = 0; k < s.operations.size(); ++k) {
       const Operation& op = s.operations[k];
       wishes.push_back({id_of(k), op.latency_objective.seconds(), op.billed_value, {}});
-      const auto most = op.effect == Effect::idempotent ? FurtherTries::two : FurtherTries::after_proof;
+      const auto most = op.effect == Effect::idempotent ? RetryPolicy::two : RetryPolicy::if_unprocessed;
       // In a general failure repeats feed it.
-      wanted_levels[k].tries = strain > 0.3 ? FurtherTries::none : std::min(s.usual_tries, most);
+      wanted_levels[k].tries = strain > 0.3 ? RetryPolicy::none : std::min(s.default_retries, most);
     }
-    if (s.level_kind == LevelKind::off) return;
+    if (s.admission_mode == AdmissionMode::off) return;
 
     double admitted = 0, admitted_cost = 0;  // a second, under the levels as they stand
     double usual = 1e-3;                     // this coordinator's part of the traffic
@@ -661,13 +661,13 @@
       const double was = line == have.lines.end() ? 0 : line->second;
       const auto b = roster.find(id);
       const bool must = weight < was && (b == roster.end() || !ready(b->second) || warmth(b->second) < 1);
-      if (std::abs(was - weight) > 1e-9) (must ? orders : rest).emplace_back(SetLine{number, id, weight});
+      if (std::abs(was - weight) > 1e-9) (must ? orders : rest).emplace_back(SetWeight{number, id, weight});
     }
-    have.levels.resize(want.levels.size(), Level{FurtherTries::none, -1});
+    have.levels.resize(want.levels.size(), Level{RetryPolicy::none, -1});
     for (std::size_t k = 0; k < want.levels.size(); ++k)
       if (const Level& w = want.levels[k], &h = have.levels[k];
           h.tries != w.tries || std::abs(h.level - w.level) >= 0.03 * w.level)
-        rest.emplace_back(SetLevel{number, id_of(k), w.tries, w.level});
+        rest.emplace_back(SetAdmission{number, id_of(k), w.tries, w.level});
     if (forced == orders.empty()) return;
 
     auto& sent = have.messages;
@@ -684,9 +684,9 @@
     queue = queued() + cost(orders.size()), queue_at = now;
     for (const auto& order : orders) {
       out.push_back(order);
-      if (const auto* level = std::get_if<SetLevel>(&order))
-        have.levels[level->operation.value] = {level->tries, level->level};
-      const auto* line = std::get_if<SetLine>(&order);
+      if (const auto* level = std::get_if<SetAdmission>(&order))
+        have.levels[level->operation.value] = {level->retries, level->limit};
+      const auto* line = std::get_if<SetWeight>(&order);
       if (line == nullptr) continue;
       have.lines[line->backend] = line->weight;
       if (line->weight <= 0) have.lines.erase(line->backend);
@@ -744,9 +744,9 @@
     out.clear();
     for (const auto& event : events) std::visit([this](const auto& e) { note(e); }, event);
     hear();
-    if (s.ask_for_list && !following && (!ask_at || now >= *ask_at)) {
-      ask_at = now + s.ask_within * 0.5;  // unanswered for half the time allowed: ask again
-      out.emplace_back(FollowList{});
+    if (s.explicit_subscription && !following && (!ask_at || now >= *ask_at)) {
+      ask_at = now + s.subscribe_timeout * 0.5;  // unanswered for half the time allowed: ask again
+      out.emplace_back(SubscribeToList{});
     }
     cut_table();
     judge_backends();
@@ -756,35 +756,36 @@
     bind();
     if (!wake_at || now >= *wake_at) {
       wake_at = now + kTick;
-      out.emplace_back(WakeMe{kTick, TimerTag{0}});
+      out.emplace_back(SetTimer{kTick, TimerTag{0}});
     }
     return std::move(out);
   }
 };
 
-Memory Policy::remember(Instant now) const {
-  Memory memory;
+PolicySnapshot Policy::snapshot(Instant now) const {
+  PolicySnapshot memory;
   const auto rung = [now](const Ladder& l) {
-    return Memory::Rung{l.share, l.falling, l.eased, l.next - now, now - l.changed, l.relapses};
+    return PolicySnapshot::ShareState{l.share,      l.reducing,      l.was_slow,
+                                      l.next - now, now - l.changed, l.failed_trials};
   };
-  const auto worth = [](const Ladder& l) { return !l.whole() || l.relapses > 0; };
+  const auto worth = [](const Ladder& l) { return !l.whole() || l.failed_trials > 0; };
   for (const auto& [zone, ladder] : state_->zones)
     if (worth(ladder)) memory.zones[zone] = rung(ladder);
   for (const auto& [id, b] : state_->roster)
     if (worth(b.ladder)) memory.backends[id] = rung(b.ladder);
   for (const auto& [key, link] : state_->links)
     if (worth(link.ladder)) memory.links[key] = rung(link.ladder);
-  memory.able = {state_->able_log.begin(), state_->able_log.end()};
+  memory.capacity_samples = {state_->able_log.begin(), state_->able_log.end()};
   return memory;
 }
 
-void Policy::recall(Instant now, const Memory& memory) {
+void Policy::restore(Instant now, const PolicySnapshot& memory) {
   // Guards against pouring work back onto what another instance saw fail.
-  const auto take = [now](Ladder& mine, const Memory::Rung& r) {
-    const int relapses = std::max(mine.relapses, r.relapses);
-    if (r.share < mine.share || (r.falling && mine.whole()))
-      mine = {r.share, r.falling, now + r.next_in, now - r.changed_ago, now, 0, r.eased};
-    mine.relapses = relapses;
+  const auto take = [now](Ladder& mine, const PolicySnapshot::ShareState& r) {
+    const int failed_trials = std::max(mine.failed_trials, r.failed_trials);
+    if (r.share < mine.share || (r.reducing && mine.whole()))
+      mine = {r.share, r.reducing, now + r.next_step_in, now - r.since_change, now, 0, r.was_slow};
+    mine.failed_trials = failed_trials;
   };
   for (const auto& [zone, rung] : memory.zones) take(state_->zones[zone], rung);
   for (const auto& [key, rung] : memory.links) take(state_->links[key].ladder, rung);
@@ -793,7 +794,7 @@
     take(listed == state_->roster.end() ? state_->recalled[id] : listed->second.ladder, rung);
   }
   if (state_->able_log.empty())
-    for (const double able : memory.able) state_->able_log.push_back(able);
+    for (const double able : memory.capacity_samples) state_->able_log.push_back(able);
   while (state_->able_log.size() > kSamples) state_->able_log.pop_front();
 }
 
--- a/src/policy/policy.hpp
+++ b/src/policy/policy.hpp
@@ -15,8 +15,8 @@
 namespace gorsemount {
 
 enum class Effect { idempotent, fingerprinted, side_effecting };
-enum class LevelKind { share, rate, off };
-enum class FurtherTries : std::uint8_t { none = 0, after_proof = 1, one = 2, two = 3 };
+enum class AdmissionMode { share, rate, off };
+enum class RetryPolicy : std::uint8_t { none = 0, if_unprocessed = 1, one = 2, two = 3 };
 
 struct Operation {
   Effect effect = Effect::side_effecting;
@@ -26,11 +26,11 @@
 
 struct Settings {
   std::vector<Operation> operations;
-  LevelKind level_kind = LevelKind::off;
-  FurtherTries usual_tries = FurtherTries::after_proof;
-  bool ask_for_list = false;
+  AdmissionMode admission_mode = AdmissionMode::off;
+  RetryPolicy default_retries = RetryPolicy::if_unprocessed;
+  bool explicit_subscription = false;
   Span report_every;
-  double intake = 0;  // report lines a second handed on at most; the rest waits
+  double max_report_rate = 0;  // report lines a second handed on at most; the rest waits
   // The channel to the proxies, in lines.
   double backlog = 0;
   double push_rate = 0;
@@ -41,7 +41,7 @@
   double coordinators = 1;
   Span keepalive;  // a proxy closes connections that are idle this long
   // Figures of the rules.
-  Span ask_within;
+  Span subscribe_timeout;
   Span drain_grace;
   bool removal_binds = true;  // false: the drain rule counts from `draining` only, not from `gone`
   double cold_from = 0;
@@ -50,9 +50,9 @@
 };
 
 enum class Availability { ready, draining, gone };
-enum class ListScope { changes, whole, remembered, failed };
+enum class ListScope { delta, full, cached, failed };
 
-struct Listed {
+struct BackendListUpdate {
   struct Entry {
     BackendId backend;
     ZoneId zone;
@@ -60,7 +60,7 @@
     double weight = 1;
     std::optional<Instant> started;  // absent: long ago
   };
-  ListScope scope = ListScope::whole;
+  ListScope scope = ListScope::full;
   std::vector<Entry> entries;
 };
 struct TimerFired {
@@ -75,23 +75,24 @@
   ProxyId proxy;
 };
 struct BackendReport {
-  ZoneId proxies_in;
+  ZoneId proxy_zone;
   BackendId backend;
   int tries = 0;
   int errored = 0;
   Span mean_latency;  // of the succeeded ones; zero if none
-  Span over;
-  std::optional<double> busy;  // part of the backend's processors in use, as it last told
+  Span interval;
+  std::optional<double> utilization;  // part of the backend's processors in use, as it last told
 };
 struct DemandReport {
   ProxyId proxy;
   OperationId operation;
   int arrived = 0;
-  Span over;
+  Span interval;
 };
-using Event = std::variant<Listed, TimerFired, ProxyJoined, ProxyLeft, BackendReport, DemandReport>;
+using Event =
+    std::variant<BackendListUpdate, TimerFired, ProxyJoined, ProxyLeft, BackendReport, DemandReport>;
 
-struct SetLine {
+struct SetWeight {
   TableId table;
   BackendId backend;
   double weight = 0;  // 0 removes the line
@@ -100,33 +101,34 @@
   ProxyId proxy;
   TableId table;  // for every operation
 };
-struct SetLevel {
+struct SetAdmission {
   TableId table;
   OperationId operation;
-  FurtherTries tries = FurtherTries::none;
-  double level = 0;  // in the kind that the settings name
+  RetryPolicy retries = RetryPolicy::none;
+  double limit = 0;  // in the kind that the settings name
 };
-struct FollowList {};  // subscribe to changes of the list
-struct WakeMe {
+struct SubscribeToList {};  // subscribe to changes of the list
+struct SetTimer {
   Span after;
   TimerTag tag;
 };
-using Order = std::variant<SetLine, BindProxy, SetLevel, FollowList, WakeMe>;
+using Order = std::variant<SetWeight, BindProxy, SetAdmission, SubscribeToList, SetTimer>;
 
 // What one instance knows that is worth more than its life, for the next one or for another beside it. Only
-// what is not whole. Spans count from when it was remembered; `next_in` may be below zero.
-struct Memory {
-  struct Rung {
+// what is not whole. Spans count from when it was remembered; `next_step_in` may be below zero.
+struct PolicySnapshot {
+  struct ShareState {
     double share = 1;
-    bool falling = false, eased = false;
-    Span next_in, changed_ago;
-    int relapses = 0;
-    auto operator<=>(const Rung&) const = default;
+    bool reducing = false, was_slow = false;
+    Span next_step_in, since_change;
+    int failed_trials = 0;
+    auto operator<=>(const ShareState&) const = default;
   };
-  std::map<ZoneId, Rung> zones;
-  std::map<BackendId, Rung> backends;
-  std::map<std::pair<ZoneId, ZoneId>, Rung> links;  // from the proxies' zone to the backends'
-  std::vector<double> able;  // what full use of the fleet has carried, by listed weight; the last rounds
+  std::map<ZoneId, ShareState> zones;
+  std::map<BackendId, ShareState> backends;
+  std::map<std::pair<ZoneId, ZoneId>, ShareState> links;  // from the proxies' zone to the backends'
+  std::vector<double>
+      capacity_samples;  // what full use of the fleet has carried, by listed weight; the last rounds
 };
 
 // One coordinator's decisions. Instances share nothing.
@@ -140,10 +142,10 @@
   // All that came in at one time; the orders take effect in the order returned.
   [[nodiscard]] std::vector<Order> handle(Instant now, const std::vector<Event>& events);
 
-  [[nodiscard]] Memory remember(Instant now) const;
+  [[nodiscard]] PolicySnapshot snapshot(Instant now) const;
   // Takes over what another knew. The lower share counts, so a recall never raises anything; a backend that
   // is not listed yet keeps its rung till it is.
-  void recall(Instant now, const Memory& memory);
+  void restore(Instant now, const PolicySnapshot& memory);
 
  private:
   struct State;
--- a/src/record/codec.cpp
+++ b/src/record/codec.cpp
@@ -17,20 +17,20 @@
 std::int64_t at(Instant t, Instant base) { return (t - base).micros(); }
 Instant back(std::int64_t t, Instant base) { return base + Span::micros(t); }
 
-json to(const RosterHeard& e, Instant) {
+json to(const RosterUpdate& e, Instant) {
   json all = json::array();
   for (const auto& r : e.entries)
     all.push_back(
         {r.name, r.zone.value, r.at.text(), r.weight, static_cast<int>(r.availability), r.operations});
   return all;
 }
-json to(const LoadHeard& e, Instant base) {
+json to(const LoadReport& e, Instant base) {
   json counts = json::array();
   for (const auto& c : e.sample.counts)
     counts.push_back(
         {c.operation.value, c.source.text(), c.taken, c.succeeded, c.errored, c.refused, c.latency});
   return {e.backend.value,
-          at(e.asked, base),
+          at(e.requested_at, base),
           e.sample.boot,
           e.sample.uptime,
           e.sample.draining,
@@ -38,31 +38,31 @@
           e.sample.queue ? json(*e.sample.queue) : json(),
           counts};
 }
-json to(const LoadMissing& e, Instant) { return {e.backend.value, e.why}; }
-json to(const HealthHeard& e, Instant) {
-  return {e.backend.value, static_cast<int>(e.health), e.took.micros()};
+json to(const LoadPollFailed& e, Instant) { return {e.backend.value, e.reason}; }
+json to(const HealthCheckResult& e, Instant) {
+  return {e.backend.value, static_cast<int>(e.health), e.latency.micros()};
 }
-json to(const LookedUp& e, Instant) { return {e.group.value}; }
-json to(const Retuned&, Instant) { return json::array(); }
-json to(const ForwarderJoined& e, Instant) { return {e.forwarder.value, e.taken_over, e.holds}; }
+json to(const GroupLookup& e, Instant) { return {e.group.value}; }
+json to(const SettingsReloaded&, Instant) { return json::array(); }
+json to(const ForwarderJoined& e, Instant) { return {e.forwarder.value, e.taken_over, e.current_weights}; }
 json to(const ForwarderLeft& e, Instant) { return {e.forwarder.value}; }
-json to(const ForwarderMet& e, Instant) {
+json to(const ForwarderReport& e, Instant) {
   json rows = json::array(), arrived = json::array();
   for (const auto& r : e.rows)
     rows.push_back({r.backend.value, r.operation.value, r.tries, r.errored, r.mean_latency.micros()});
   for (const auto& [op, n] : e.arrived) arrived.push_back({op.value, n});
   return {e.forwarder.value, rows, arrived, e.further};
 }
-json to(const ForwarderHolds& e, Instant) { return {e.forwarder.value, e.version}; }
-json to(const PersonOrders& e, Instant) {
-  return {static_cast<int>(e.what), e.name, e.weight, e.lifetime.micros(), e.anyway};
+json to(const ForwarderAppliedTable& e, Instant) { return {e.forwarder.value, e.version}; }
+json to(const OperatorCommand& e, Instant) {
+  return {static_cast<int>(e.action), e.name, e.weight, e.lifetime.micros(), e.force};
 }
-json to(const Recalled& e, Instant base) {
+json to(const FactsReceived& e, Instant base) {
   const std::string bytes = recovery::encode(e.facts, base);
-  return json::array({json::binary({bytes.begin(), bytes.end()}), e.own});
+  return json::array({json::binary({bytes.begin(), bytes.end()}), e.from_previous_run});
 }
-json to(const GroupLed& e, Instant) { return {e.group.value, e.here}; }
-json to(const Followed& e, Instant) {
+json to(const GroupLeadership& e, Instant) { return {e.group.value, e.locally_led}; }
+json to(const LeaderTable& e, Instant) {
   json levels = json::array();
   for (const auto& [tries, level] : e.levels) levels.push_back({tries, level});
   return {e.group.value, e.fresh, e.lines, levels};
@@ -91,14 +91,14 @@
 std::optional<Input> from(std::size_t kind, const json& j, Instant base) {
   switch (kind) {
     case 0: {
-      RosterHeard e;
+      RosterUpdate e;
       for (const auto& r : j)
         e.entries.push_back({r.at(0).get<std::string>(), id<ZoneId>(r.at(1)), place(r.at(2)), finite(r.at(3)),
                              static_cast<Availability>(within(r.at(4), 2)), r.at(5).get<std::uint32_t>()});
       return e;
     }
     case 1: {
-      LoadHeard e{id<BackendId>(j.at(0)), back(j.at(1).get<std::int64_t>(), base), {}};
+      LoadReport e{id<BackendId>(j.at(0)), back(j.at(1).get<std::int64_t>(), base), {}};
       e.sample.boot = j.at(2).get<std::string>(), e.sample.uptime = j.at(3).get<double>(),
       e.sample.draining = j.at(4).get<bool>();
       if (!j.at(5).is_null()) e.sample.util = j.at(5).get<double>();
@@ -113,12 +113,12 @@
       return e;
     }
     case 2:
-      return LoadMissing{id<BackendId>(j.at(0)), j.at(1).get<std::string>()};
+      return LoadPollFailed{id<BackendId>(j.at(0)), j.at(1).get<std::string>()};
     case 3:
-      return HealthHeard{id<BackendId>(j.at(0)), static_cast<Health>(within(j.at(1), 2)),
-                         Span::micros(j.at(2).get<std::int64_t>())};
+      return HealthCheckResult{id<BackendId>(j.at(0)), static_cast<Health>(within(j.at(1), 2)),
+                               Span::micros(j.at(2).get<std::int64_t>())};
     case 4:
-      return LookedUp{id<ProxyId>(j.at(0))};
+      return GroupLookup{id<ProxyId>(j.at(0))};
     case 5:
       return {};
     case 6:
@@ -127,10 +127,10 @@
     case 7:
       return ForwarderLeft{id<ProxyId>(j.at(0))};
     case 8: {
-      ForwarderMet e{id<ProxyId>(j.at(0)),
-                     {},
-                     {},
-                     j.size() > 3 ? j.at(3).get<int>() : 0};  // older recordings end before it
+      ForwarderReport e{id<ProxyId>(j.at(0)),
+                        {},
+                        {},
+                        j.size() > 3 ? j.at(3).get<int>() : 0};  // older recordings end before it
       for (const auto& r : j.at(1))
         e.rows.push_back({id<BackendId>(r.at(0)), id<OperationId>(r.at(1)), r.at(2).get<int>(),
                           r.at(3).get<int>(), Span::micros(r.at(4).get<std::int64_t>())});
@@ -138,21 +138,22 @@
       return e;
     }
     case 9:
-      return ForwarderHolds{id<ProxyId>(j.at(0)), j.at(1).get<std::uint64_t>()};
+      return ForwarderAppliedTable{id<ProxyId>(j.at(0)), j.at(1).get<std::uint64_t>()};
     case 10:
-      return PersonOrders{static_cast<PersonOrders::What>(within(j.at(0), 6)), j.at(1).get<std::string>(),
-                          finite(j.at(2)), Span::micros(j.at(3).get<std::int64_t>()),
-                          j.size() > 4 && j.at(4).get<bool>()};
+      return OperatorCommand{static_cast<OperatorCommand::Action>(within(j.at(0), 6)),
+                             j.at(1).get<std::string>(), finite(j.at(2)),
+                             Span::micros(j.at(3).get<std::int64_t>()), j.size() > 4 && j.at(4).get<bool>()};
     case 11: {
       const auto& bytes = j.at(0).get_binary();
       auto facts = recovery::decode({reinterpret_cast<const char*>(bytes.data()), bytes.size()}, base);
       if (const auto* fault = std::get_if<std::string>(&facts)) throw std::runtime_error{*fault};
-      return Recalled{std::get<std::vector<recovery::Entry>>(std::move(facts)), j.at(1).get<bool>()};
+      return FactsReceived{std::get<std::vector<recovery::Entry>>(std::move(facts)), j.at(1).get<bool>()};
     }
     case 12:
-      return GroupLed{id<ProxyId>(j.at(0)), j.at(1).get<bool>()};
+      return GroupLeadership{id<ProxyId>(j.at(0)), j.at(1).get<bool>()};
     case 13: {
-      Followed e{id<ProxyId>(j.at(0)), j.at(1).get<bool>(), j.at(2).get<std::map<std::string, double>>(), {}};
+      LeaderTable e{
+          id<ProxyId>(j.at(0)), j.at(1).get<bool>(), j.at(2).get<std::map<std::string, double>>(), {}};
       for (const auto& l : j.at(3)) e.levels.emplace_back(l.at(0).get<int>(), finite(l.at(1)));
       return e;
     }
@@ -193,10 +194,10 @@
     text += fmt::format("message {} lines {:.17g} waiting {:.17g}\n", m.group.value, m.lines, m.waiting);
   for (const auto& d : e.deliveries) {
     text += fmt::format("deliver {} version {}\n", d.forwarder.value, d.table->version);
-    if (d.table->retries >= 0) text += fmt::format(" retries {:.17g}\n", d.table->retries);
-    for (const auto& part : d.table->parts) {
+    if (d.table->retry_ratio >= 0) text += fmt::format(" retries {:.17g}\n", d.table->retry_ratio);
+    for (const auto& part : d.table->operations) {
       text += fmt::format(" {} tries {} level {:.17g} rate {:.17g}:", part.operation,
-                          static_cast<int>(part.level.tries), part.level.level, part.rate);
+                          static_cast<int>(part.level.tries), part.level.level, part.rate_limit);
       for (const auto& l : part.lines)
         text += fmt::format(" {}={:.17g}{}", l.name, l.weight, l.cold ? "c" : "");
       text += "\n";
@@ -211,13 +212,13 @@
         text += "\n";
       }
   }
-  for (const auto& a : e.answers) text += "answer " + a + "\n";
-  for (const auto& n : e.notes) {
+  for (const auto& a : e.command_results) text += "answer " + a + "\n";
+  for (const auto& n : e.log_events) {
     text += "note " + n.event;
     for (const auto& [key, value] : n.fields) text += " " + key + "=" + value;
     text += "\n";
   }
-  return text + fmt::format("wake {}\n", (e.wake_at - base).micros());
+  return text + fmt::format("wake {}\n", (e.next_wakeup - base).micros());
 }
 
 }  // namespace gorsemount::record
--- a/src/record/codec.hpp
+++ b/src/record/codec.hpp
@@ -12,8 +12,8 @@
 
 // Instants are written as micros from `base`.
 [[nodiscard]] std::string encode(const std::vector<coordinator::Input>& inputs, Instant base);
-// In place of inputs: what is wrong with the bytes. Settings of a reload are not carried: `Retuned` is passed
-// over.
+// In place of inputs: what is wrong with the bytes. Settings of a reload are not carried: `SettingsReloaded`
+// is passed over.
 [[nodiscard]] std::variant<std::vector<coordinator::Input>, std::string> decode(std::string_view bytes,
                                                                                 Instant base);
 
--- a/src/record/recorder.cpp
+++ b/src/record/recorder.cpp
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-Recorder::Recorder(background::Background& background, RecorderSettings settings, Header header, Instant base,
+Recorder::Recorder(background::Executor& background, RecorderSettings settings, Header header, Instant base,
                    std::function<void(const std::string&)> said)
     : background_{background},
       s_{std::move(settings)},
@@ -61,7 +61,7 @@
     first = waiting_.empty();
     waiting_.push_back({now, std::move(inputs), effects, detail});
   }
-  if (first) background_.ask_for(write_);
+  if (first) background_.request_run(write_);
 }
 
 std::map<std::string, std::uint64_t> Recorder::left_out() const {
@@ -93,7 +93,7 @@
   said_(why);
 }
 
-background::Piece Recorder::piece(std::size_t most) {
+background::StepResult Recorder::piece(std::size_t most) {
   std::deque<Work> batch;
   bool more = false;
   {
@@ -115,7 +115,7 @@
   return {after > before ? after - before : 0, !more};
 }
 
-background::Piece Recorder::flush() {
+background::StepResult Recorder::flush() {
   const auto left_out = this->left_out();
   {
     const std::lock_guard lock{lock_};
--- a/src/record/recorder.hpp
+++ b/src/record/recorder.hpp
@@ -8,7 +8,7 @@
 #include <map>
 #include <mutex>
 
-#include "background/background.hpp"
+#include "background/executor.hpp"
 #include "coordinator/types.hpp"
 #include "record/file.hpp"
 
@@ -31,7 +31,7 @@
  public:
   // `said` is called from a background thread, once a fault. Throws std::runtime_error if the file can't be
   // made. `background` outlives it.
-  Recorder(background::Background& background, RecorderSettings settings, Header header, Instant base,
+  Recorder(background::Executor& background, RecorderSettings settings, Header header, Instant base,
            std::function<void(const std::string&)> said);
   ~Recorder();  // what was handed over is written
   Recorder(const Recorder&) = delete;
@@ -48,12 +48,12 @@
     coordinator::Effects effects;
     Detail detail = Detail::all;
   };
-  background::Piece piece(std::size_t most);
-  background::Piece flush();
+  background::StepResult piece(std::size_t most);
+  background::StepResult flush();
   void write(const Work& work);
   void broke(const std::string& why);
 
-  background::Background& background_;
+  background::Executor& background_;
   RecorderSettings s_;
   Header header_;
   Instant base_;
--- a/src/record/tools.cpp
+++ b/src/record/tools.cpp
@@ -28,8 +28,8 @@
     auto inputs = decode(step.inputs, Instant{});
     if (!std::holds_alternative<std::vector<coordinator::Input>>(inputs)) continue;
     for (const auto& input : std::get<std::vector<coordinator::Input>>(inputs))
-      if (const auto* load = std::get_if<coordinator::LoadHeard>(&input))
-        found[load->sample.boot].push_back((load->asked - Instant{}).seconds() - load->sample.uptime);
+      if (const auto* load = std::get_if<coordinator::LoadReport>(&input))
+        found[load->sample.boot].push_back((load->requested_at - Instant{}).seconds() - load->sample.uptime);
   }
   return found;
 }
--- a/src/recovery/age.hpp
+++ b/src/recovery/age.hpp
@@ -9,15 +9,15 @@
 
 namespace gorsemount::recovery {
 
-struct Clocks {
-  std::string boot;       // of the machine
-  std::int64_t mono = 0;  // micros since then
-  std::int64_t wall = 0;  // micros since 1970
+struct ClockReading {
+  std::string boot_id;            // of the machine
+  std::int64_t monotonic_us = 0;  // micros since then
+  std::int64_t wall_us = 0;       // micros since 1970
 };
 struct Age {
-  std::optional<Span> span;  // absent: nobody can tell, so nothing acts
-  std::string doubt;         // what is odd about the clocks; empty: nothing
+  std::optional<Span> elapsed;  // absent: nobody can tell, so nothing acts
+  std::string clock_anomaly;    // what is odd about the clocks; empty: nothing
 };
-[[nodiscard]] Age age_of(const Clocks& then, const Clocks& now);
+[[nodiscard]] Age age_of(const ClockReading& then, const ClockReading& now);
 
 }  // namespace gorsemount::recovery
--- a/src/recovery/codec.cpp
+++ b/src/recovery/codec.cpp
@@ -33,7 +33,7 @@
     const auto figure_rows = fbb.CreateVector(figures);
     const auto time_rows = fbb.CreateVector(times);
     rows.push_back(wire::CreateEntry(fbb, static_cast<std::uint8_t>(e.subject.kind), name, instance,
-                                     e.sequence, e.gone, (e.learned - base).micros(), figure_rows,
+                                     e.sequence, e.deleted, (e.learned - base).micros(), figure_rows,
                                      time_rows));
   }
   fbb.Finish(wire::CreateBatch(fbb, fbb.CreateVector(rows)));
@@ -60,10 +60,10 @@
     if (!fits(row->name()) || !fits(row->instance())) return at + ": a name that is too long";
     if (!fits(row->learned())) return at + ": a time out of range";
     Entry e;
-    e.sequence = row->sequence(), e.gone = row->gone(), e.learned = base + Span::micros(row->learned());
+    e.sequence = row->sequence(), e.deleted = row->gone(), e.learned = base + Span::micros(row->learned());
     // A kind of a later version: nothing that we could act on.
-    if (row->kind() >= kKinds) continue;
-    e.subject = {static_cast<Kind>(row->kind()), row->name()->str()};
+    if (row->kind() >= kFactKindCount) continue;
+    e.subject = {static_cast<FactKind>(row->kind()), row->name()->str()};
     if (row->instance() != nullptr) e.fact.instance = row->instance()->str();
     if (row->figures() != nullptr) {
       if (row->figures()->size() > kFiguresMost) return at + ": too many figures";
--- a/src/recovery/belief.cpp
+++ b/src/recovery/fact_confidence.cpp
@@ -1,4 +1,4 @@
-#include "recovery/belief.hpp"
+#include "recovery/fact_confidence.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -19,81 +19,81 @@
 // Capacity changes with releases and with hardware, by the day's work; rates have the week's pattern. A drain
 // and a person's order stand till something says otherwise or their own time is over; but no order outlives a
 // shift and the next unseen.
-Span half_life(Kind kind) {
+Span half_life(FactKind kind) {
   switch (kind) {
-    case Kind::zone_ladder:
-    case Kind::backend_ladder:
-    case Kind::link_ladder:
+    case FactKind::zone_ladder:
+    case FactKind::backend_ladder:
+    case FactKind::link_ladder:
       return Span::seconds(kMinute);
-    case Kind::cold_start:
+    case FactKind::cold_start:
       return Span::seconds(5 * kMinute);
-    case Kind::drain:
+    case FactKind::drain:
       return Span::seconds(kHour);
-    case Kind::carried:
+    case FactKind::carried:
       return Span::seconds(4 * kHour);
-    case Kind::usual_rate:
+    case FactKind::usual_rate:
       return Span::seconds(3 * kDay);
-    case Kind::sent_table:
-    case Kind::held_table:
-    case Kind::further_tries:
+    case FactKind::sent_table:
+    case FactKind::held_table:
+    case FactKind::further_tries:
       return Span::seconds(10);
-    case Kind::person_weight:
-    case Kind::person_out:
-    case Kind::person_zone:
-    case Kind::hold:
+    case FactKind::person_weight:
+    case FactKind::person_out:
+    case FactKind::person_zone:
+    case FactKind::hold:
       return Span::seconds(8 * kHour);
-    case Kind::group_seen:
-    case Kind::group_table:
-    case Kind::table_lines:
-    case Kind::table_levels:
+    case FactKind::group_seen:
+    case FactKind::group_table:
+    case FactKind::table_lines:
+    case FactKind::table_levels:
       return Span::seconds(15);
-    case Kind::fleet:
+    case FactKind::fleet:
       return Span::seconds(kHour);
   }
   return {};
 }
 
-double trust(Kind kind, Span age) {
+double trust(FactKind kind, Span age) {
   if (age < Span{}) return 0;
   return std::exp2(-age.seconds() / half_life(kind).seconds());
 }
 
-Weight weigh(Kind kind, Span age) {
+FactUse classify(FactKind kind, Span age) {
   const double t = trust(kind, age);
-  return t >= kActs ? Weight::acts : t >= kHint || age < Span{} ? Weight::hint : Weight::nothing;
+  return t >= kActs ? FactUse::apply : t >= kHint || age < Span{} ? FactUse::hint : FactUse::ignore;
 }
 
-Believed believe(const std::vector<Entry>& entries, Instant confirmed, Instant now) {
-  Believed b;
+TrustedFacts select_trusted(const std::vector<Entry>& entries, Instant confirmed, Instant now) {
+  TrustedFacts b;
   double backends = 0, out = 0;
   for (const auto& e : entries) {
-    if (e.gone) continue;
-    if (e.subject.kind == Kind::fleet)
+    if (e.deleted) continue;
+    if (e.subject.kind == FactKind::fleet)
       if (const auto n = e.fact.figures.find("backends"); n != e.fact.figures.end()) backends = n->second;
-    if (e.subject.kind == Kind::backend_ladder)
+    if (e.subject.kind == FactKind::backend_ladder)
       if (const auto share = e.fact.figures.find("share"); share != e.fact.figures.end())
         out += 1 - std::clamp(share->second, 0.0, 1.0);
   }
-  b.too_many_out = out > kOutMost * backends;
+  b.too_many_excluded = out > kOutMost * backends;
   for (const auto& e : entries) {
-    Weight weight = e.gone ? Weight::nothing : weigh(e.subject.kind, now - confirmed);
+    FactUse weight = e.deleted ? FactUse::ignore : classify(e.subject.kind, now - confirmed);
     // Learned after it was confirmed: two clocks, or a clock that went back.
-    if (weight == Weight::acts && e.learned > confirmed) weight = Weight::hint;
-    if (weight == Weight::acts && e.subject.kind == Kind::backend_ladder && b.too_many_out)
-      weight = Weight::hint;
-    if (weight == Weight::acts) b.acts.push_back(e);
-    if (weight == Weight::hint) b.hints.push_back(e);
+    if (weight == FactUse::apply && e.learned > confirmed) weight = FactUse::hint;
+    if (weight == FactUse::apply && e.subject.kind == FactKind::backend_ladder && b.too_many_excluded)
+      weight = FactUse::hint;
+    if (weight == FactUse::apply) b.applicable.push_back(e);
+    if (weight == FactUse::hint) b.hints.push_back(e);
   }
   return b;
 }
 
-bool acts_at_once(Kind kind) {
+bool applies_immediately(FactKind kind) {
   switch (kind) {
-    case Kind::person_weight:
-    case Kind::person_out:
-    case Kind::person_zone:
-    case Kind::hold:
-    case Kind::group_seen:
+    case FactKind::person_weight:
+    case FactKind::person_out:
+    case FactKind::person_zone:
+    case FactKind::hold:
+    case FactKind::group_seen:
       return true;
     default:
       return false;
@@ -107,7 +107,7 @@
       const auto [it, fresh] = merged.try_emplace(e.subject, e);
       if (fresh) continue;
       Entry& was = it->second;
-      const bool ladder = e.subject.kind <= Kind::link_ladder;
+      const bool ladder = e.subject.kind <= FactKind::link_ladder;
       const auto share = [](const Entry& x) {
         const auto s = x.fact.figures.find("share");
         return s == x.fact.figures.end() ? 1.0 : s->second;
--- a/src/recovery/knowledge.hpp
+++ b/src/recovery/fact_log.hpp
@@ -9,12 +9,12 @@
 
 namespace gorsemount::recovery {
 
-class Knowledge {
+class FactLog {
  public:
   // Far above any fleet that we heard of: 10,000 workers with four facts each.
   static constexpr std::size_t kMost = 50'000;
-  Knowledge() = default;
-  explicit Knowledge(std::size_t most) : most_{most} {}
+  FactLog() = default;
+  explicit FactLog(std::size_t most) : most_{most} {}
 
   // The one place that works out the difference between what is so now and what the log says. Returns how
   // many entries it wrote. What differs by no more than measuring does is the same.
@@ -24,10 +24,10 @@
 
   // Entries above `sequence`, in their order, at most `most` of them.
   [[nodiscard]] std::vector<Entry> after(std::uint64_t sequence, std::size_t most = SIZE_MAX) const;
-  [[nodiscard]] std::uint64_t last() const { return last_; }
+  [[nodiscard]] std::uint64_t last_sequence() const { return last_; }
   [[nodiscard]] const std::map<Subject, Entry>& entries() const { return entries_; }
   // What is gone and was told to all up to `told`, or long ago, is dropped.
-  void forget_gone(Instant now, std::uint64_t told);
+  void purge_deleted(Instant now, std::uint64_t told);
 
  private:
   void write(Entry entry);
--- a/src/recovery/facts.hpp
+++ b/src/recovery/facts.hpp
@@ -11,7 +11,7 @@
 
 namespace gorsemount::recovery {
 
-enum class Kind : std::uint8_t {
+enum class FactKind : std::uint8_t {
   zone_ladder,     // by zone
   backend_ladder,  // by backend
   link_ladder,     // by "FROM>TO", zones
@@ -33,11 +33,11 @@
   table_levels,    // by table; figures: level and tries by operation
   fleet            // how many backends there are
 };
-inline constexpr std::size_t kKinds = 19;
-[[nodiscard]] const char* name_of(Kind kind);
+inline constexpr std::size_t kFactKindCount = 19;
+[[nodiscard]] const char* name_of(FactKind kind);
 
 struct Subject {
-  Kind kind = Kind::fleet;
+  FactKind kind = FactKind::fleet;
   std::string name;
   auto operator<=>(const Subject&) const = default;
 };
@@ -55,7 +55,7 @@
   Fact fact;
   Instant learned;             // when it became so
   std::uint64_t sequence = 0;  // above 0
-  bool gone = false;           // it is no longer so
+  bool deleted = false;        // it is no longer so
 };
 
 }  // namespace gorsemount::recovery
--- a/src/runtime_api/driver.cpp
+++ b/src/runtime_api/driver.cpp
@@ -40,7 +40,7 @@
     dial();
   }
 
-  void deliver(std::shared_ptr<const coordinator::WantedTable> table) {
+  void deliver(std::shared_ptr<const coordinator::DesiredTable> table) {
     wanted_ = std::move(table);
     wanted_at_ = d_.loop_.now();
     sent_changes_ = 0;
@@ -216,7 +216,7 @@
       return d_.hooks_.log(true, "report_doubted",
                            {{"forwarder", target_.name}, {"why", "more errored than tried"}});
     if (told.restarted) d_.hooks_.log(true, "forwarder_restarted", {{"forwarder", target_.name}});
-    coordinator::ForwarderMet met{target_.id, {}, {}, 0};
+    coordinator::ForwarderReport met{target_.id, {}, {}, 0};
     for (std::size_t k = 0; k < d_.s_.operations.size(); ++k) {
       const OperationId op{static_cast<std::uint8_t>(k)};
       for (const auto& [key, c] : told.since.servers) {
@@ -242,7 +242,7 @@
     if (way->changes.empty()) {
       if (holds_ != wanted_->version) {
         holds_ = wanted_->version;
-        d_.hooks_.report(coordinator::ForwarderHolds{target_.id, holds_});
+        d_.hooks_.report(coordinator::ForwarderAppliedTable{target_.id, holds_});
         d_.hooks_.in_force(target_.id, holds_, net::monotonic_now() - wanted_at_, sent_changes_);
       }
       return;
@@ -289,7 +289,7 @@
   std::deque<Pending> pending_;
   std::size_t scanned_ = 0;
   Held held_;
-  std::shared_ptr<const coordinator::WantedTable> wanted_;
+  std::shared_ptr<const coordinator::DesiredTable> wanted_;
   Instant wanted_at_;
   forwarders::Counters counters_;
   std::optional<std::uint64_t> term_;
@@ -306,7 +306,7 @@
 Driver::~Driver() = default;
 
 std::shared_ptr<const Driver::Way> Driver::way(const Held& from,
-                                               const std::shared_ptr<const coordinator::WantedTable>& wanted,
+                                               const std::shared_ptr<const coordinator::DesiredTable>& wanted,
                                                bool with_values) {
   for (const auto& known : {there_, last_})
     if (known && known->wanted == wanted && known->with_values == with_values && known->from == from)
@@ -322,7 +322,7 @@
   if (const auto it = streams_.find(forwarder); it != streams_.end()) it->second->lead(term);
 }
 
-void Driver::deliver(ProxyId forwarder, std::shared_ptr<const coordinator::WantedTable> table) {
+void Driver::deliver(ProxyId forwarder, std::shared_ptr<const coordinator::DesiredTable> table) {
   if (const auto it = streams_.find(forwarder); it != streams_.end()) it->second->deliver(std::move(table));
 }
 
--- a/src/runtime_api/driver.hpp
+++ b/src/runtime_api/driver.hpp
@@ -54,7 +54,7 @@
   // In a shared fleet: with a term the forwarder is led, under it; without one its stream is given up. Alone,
   // all are led, without terms.
   void lead(ProxyId forwarder, std::optional<std::uint64_t> term);
-  void deliver(ProxyId forwarder, std::shared_ptr<const coordinator::WantedTable> table);
+  void deliver(ProxyId forwarder, std::shared_ptr<const coordinator::DesiredTable> table);
 
   struct Status {
     std::string name;
@@ -68,14 +68,14 @@
   class Stream;
   // Forwarders bound to one table mostly hold the same, so their way to the next is worked out once.
   struct Way {
-    std::shared_ptr<const coordinator::WantedTable> wanted;
+    std::shared_ptr<const coordinator::DesiredTable> wanted;
     forwarders::Held from;
     bool with_values = true;
     std::vector<forwarders::Change> changes;
     std::string text;
   };
   [[nodiscard]] std::shared_ptr<const Way> way(const forwarders::Held& from,
-                                               const std::shared_ptr<const coordinator::WantedTable>& wanted,
+                                               const std::shared_ptr<const coordinator::DesiredTable>& wanted,
                                                bool with_values);
 
   net::Loop& loop_;
--- a/src/runtime_api/operators.cpp
+++ b/src/runtime_api/operators.cpp
@@ -11,7 +11,7 @@
 
 namespace gorsemount::runtime_api {
 
-using coordinator::PersonOrders;
+using coordinator::OperatorCommand;
 
 namespace {
 
@@ -86,7 +86,7 @@
 
 }  // namespace
 
-Operators::Operators(const coordinator::Coordinator& core, std::function<std::string(PersonOrders)> order,
+Operators::Operators(const coordinator::Coordinator& core, std::function<std::string(OperatorCommand)> order,
                      std::function<std::vector<Driver::Status>()> forwarders, std::string token)
     : core_{core}, order_{std::move(order)}, forwarders_{std::move(forwarders)}, token_{std::move(token)} {}
 
@@ -137,7 +137,7 @@
   if (what == "table") {
     std::map<BackendId, std::string> names;
     for (const auto& b : core_.backends())
-      if (const auto id = core_.id_of(b.name)) names[*id] = b.name;
+      if (const auto id = core_.backend_id(b.name)) names[*id] = b.name;
     std::vector<std::pair<TableId, coordinator::TablePtr>> tables{core_.tables().begin(),
                                                                   core_.tables().end()};
     if (!which.empty()) {
@@ -162,7 +162,7 @@
     std::map<std::string, std::pair<double, double>> zones;
     double all = 0;
     for (const auto& b : core_.backends())
-      zones[b.zone].first += b.listed, zones[b.zone].second += b.weight, all += b.weight;
+      zones[b.zone].first += b.listed_weight, zones[b.zone].second += b.weight, all += b.weight;
     for (const auto& [zone, w] : zones)
       rows.push_back({{"zone", zone},
                       {"listed", number(w.first)},
@@ -175,19 +175,19 @@
                         {"zone", b.zone},
                         {"address", b.at.text()},
                         {"state", b.state},
-                        {"listed", number(b.listed)},
+                        {"listed", number(b.listed_weight)},
                         {"ordered", number(b.weight)},
                         {"cold", b.cold ? "yes" : "no"},
-                        {"refuses", b.absent ? "yes" : "no"},
-                        {"person", b.by_person ? "yes" : "no"},
-                        {"doubt", b.doubt}});
+                        {"refuses", b.refuses_connections ? "yes" : "no"},
+                        {"person", b.operator_override ? "yes" : "no"},
+                        {"doubt", b.sample_fault}});
     if (rows.empty() && !which.empty()) return fmt::format("No such backend '{}'.\n", which);
   } else if (what == "ladder") {
     for (const auto& b : core_.backends())
-      if (b.state == "ready" && b.weight < b.listed * (1 - 1e-9))
+      if (b.state == "ready" && b.weight < b.listed_weight * (1 - 1e-9))
         rows.push_back({{"backend", b.name},
                         {"zone", b.zone},
-                        {"share", number(b.listed > 0 ? b.weight / b.listed : 0)},
+                        {"share", number(b.listed_weight > 0 ? b.weight / b.listed_weight : 0)},
                         {"cold", b.cold ? "yes" : "no"}});
   } else if (what == "proxies") {
     std::map<std::string, Driver::Status> up;
@@ -197,8 +197,8 @@
       rows.push_back({{"proxy", p.name},
                       {"kind", coordinator::is_forwarder(p.id) ? "forwarder" : "group"},
                       {"table", p.table ? std::to_string(p.table->value) : "none"},
-                      {"ordered", std::to_string(p.ordered)},
-                      {"holds", std::to_string(p.holds)},
+                      {"ordered", std::to_string(p.ordered_version)},
+                      {"holds", std::to_string(p.applied_version)},
                       {"rate", number(p.rate)},
                       {"repairs", it == up.end() ? "-" : std::to_string(it->second.repairs)},
                       {"refusals", it == up.end() ? "-" : std::to_string(it->second.refusals)}});
@@ -206,12 +206,12 @@
   } else if (what == "channel") {
     const auto c = core_.counters();
     const auto& s = core_.settings();
-    rows.push_back({{"waiting", number(core_.waiting())},
-                    {"most", number(c.most_waiting)},
+    rows.push_back({{"waiting", number(core_.channel_backlog())},
+                    {"most", number(c.peak_backlog)},
                     {"backlog", number(s.backlog)},
                     {"messages", std::to_string(c.messages)},
-                    {"held_back", std::to_string(c.held_back)},
-                    {"hold", core_.held() ? "yes" : "no"}});
+                    {"held_back", std::to_string(c.deferred_messages)},
+                    {"hold", core_.decisions_held() ? "yes" : "no"}});
   } else if (what == "cluster") {
     if (!cluster_) return "No cluster: this coordinator stands alone.\n";
     rows = cluster_();
@@ -226,7 +226,7 @@
 }
 
 std::string Operators::order(const std::vector<std::string>& words) {
-  using What = PersonOrders::What;
+  using Action = OperatorCommand::Action;
   const auto is = [&](std::size_t n, std::initializer_list<const char*> start) {
     if (words.size() != n) return false;
     std::size_t k = 0;
@@ -235,10 +235,10 @@
     return true;
   };
   if (is(1, {"hand-over"})) return hand_over_ ? hand_over_() : "No cluster: this coordinator stands alone.\n";
-  PersonOrders o;
+  OperatorCommand o;
   if (is(4, {"set", "weight"}) || (is(6, {"set", "weight"}) && words[4] == "for")) {
     char* end = nullptr;
-    o = {What::set_weight, words[2], std::strtod(words[3].c_str(), &end), Span::seconds(600), false};
+    o = {Action::set_weight, words[2], std::strtod(words[3].c_str(), &end), Span::seconds(600), false};
     if (*end != 0 || !std::isfinite(o.weight)) return fmt::format("'{}' is no weight.\n", words[3]);
     if (words.size() == 6) {
       const auto span = span_of(words[5]);
@@ -247,17 +247,17 @@
       o.lifetime = *span;
     }
   } else if (is(3, {"drain", "zone"}) || (is(4, {"drain", "zone"}) && words[3] == "anyway")) {
-    o = {What::drain_zone, words[2], 0, {}, words.size() == 4};
+    o = {Action::drain_zone, words[2], 0, {}, words.size() == 4};
   } else if (is(3, {"undrain", "zone"})) {
-    o = {What::undrain_zone, words[2], 0, {}, false};
+    o = {Action::undrain_zone, words[2], 0, {}, false};
   } else if (is(3, {"disable", "backend"})) {
-    o = {What::disable, words[2], 0, {}, false};
+    o = {Action::disable, words[2], 0, {}, false};
   } else if (is(3, {"enable", "backend"})) {
-    o = {What::enable, words[2], 0, {}, false};
+    o = {Action::enable, words[2], 0, {}, false};
   } else if (is(1, {"hold"})) {
-    o = {What::hold, "", 0, {}, false};
+    o = {Action::hold, "", 0, {}, false};
   } else if (is(1, {"release"})) {
-    o = {What::release, "", 0, {}, false};
+    o = {Action::release, "", 0, {}, false};
   } else {
     const auto near = complete(words[0]);
     return near.empty() ? fmt::format("Unknown command: '{}'. Try 'help'.\n", words[0])
--- a/src/runtime_api/operators.hpp
+++ b/src/runtime_api/operators.hpp
@@ -16,7 +16,8 @@
 class Operators {
  public:
   // `order` hands an order to the core at once and returns its answer. `forwarders` may be empty.
-  Operators(const coordinator::Coordinator& core, std::function<std::string(coordinator::PersonOrders)> order,
+  Operators(const coordinator::Coordinator& core,
+            std::function<std::string(coordinator::OperatorCommand)> order,
             std::function<std::vector<Driver::Status>()> forwarders, std::string token);
 
   // What a shared fleet adds: `show cluster` rows, and `hand-over`. Absent: the coordinator stands alone.
@@ -41,7 +42,7 @@
   [[nodiscard]] std::string order(const std::vector<std::string>& words);
 
   const coordinator::Coordinator& core_;
-  std::function<std::string(coordinator::PersonOrders)> order_;
+  std::function<std::string(coordinator::OperatorCommand)> order_;
   std::function<std::vector<Driver::Status>()> forwarders_;
   std::function<Rows()> cluster_, work_;
   std::function<std::string()> hand_over_;
--- a/src/script/day.cpp
+++ b/src/script/day.cpp
@@ -158,14 +158,14 @@
     in.done();
   }
   for (const auto* b : root.blocks("person", 1)) {
-    using What = coordinator::PersonOrders::What;
+    using Action = coordinator::OperatorCommand::Action;
     config::Section in = section_of(*b, root);
     const std::vector<std::string> orders{"drain zone", "undrain zone", "hold", "release"};
-    constexpr What what[] = {What::drain_zone, What::undrain_zone, What::hold, What::release};
+    constexpr Action what[] = {Action::drain_zone, Action::undrain_zone, Action::hold, Action::release};
     const std::size_t k = in.word("order", orders, std::nullopt);
     Person person;
     if (k < 2) person.order.name = zone_in_day(in, day);
-    person.order.what = what[k], person.at = some(in, "at", std::nullopt);
+    person.order.action = what[k], person.at = some(in, "at", std::nullopt);
     person.words = orders[k] + (k < 2 ? " " + person.order.name : "");
     in.done();
     day.persons.push_back(std::move(person));
--- a/src/script/day.hpp
+++ b/src/script/day.hpp
@@ -94,7 +94,7 @@
 struct Person {
   std::string words;  // as at the operators' socket
   Span at;
-  coordinator::PersonOrders order;
+  coordinator::OperatorCommand order;
 };
 // Orders cut at seeded byte offsets: the sender is killed, or stands still and wakes, while the rest is on
 // its way.
--- a/src/settings_json/settings.cpp
+++ b/src/settings_json/settings.cpp
@@ -51,24 +51,24 @@
         read_operation(Fields{lanes[index], "config.lanes[" + std::to_string(index) + "]"}));
   const auto kind = family.text("level-kind");
   if (kind == "share") {
-    settings.level_kind = LevelKind::share;
+    settings.admission_mode = AdmissionMode::share;
   } else if (kind == "rate") {
-    settings.level_kind = LevelKind::rate;
+    settings.admission_mode = AdmissionMode::rate;
   } else if (kind != "off") {
     family.fail("level-kind", "is not known: " + kind);
   }
-  settings.usual_tries = static_cast<FurtherTries>(family.unsigned_integer("usual-how", 3));
+  settings.default_retries = static_cast<RetryPolicy>(family.unsigned_integer("usual-how", 3));
   const auto discovery = config.text("discovery");
   if (discovery != "subscribe" && discovery != "automatic")
     config.fail("discovery", "is not known: " + discovery);
-  settings.ask_for_list = discovery == "subscribe";
+  settings.explicit_subscription = discovery == "subscribe";
   // Unsupported features are rejected instead of being ignored silently.
   if (family.has("ranges") && family.unsigned_integer("ranges", kMaxCount) > 0)
     family.fail("ranges", "is above 0: key ranges are not supported");
   if (family.optional_flag("one-owner").value_or(false))
     family.fail("one-owner", "is true: owners of key ranges are not supported");
   settings.report_every = family.span("report-every-s");
-  settings.intake = family.number("intake-per-s");
+  settings.max_report_rate = family.number("intake-per-s");
   settings.backlog = family.number("backlog");
   settings.push_rate = family.number("push-rate");
   settings.per_message = family.number("per-message");
@@ -79,7 +79,7 @@
   if (settings.coordinators < 1) config.fail("fleet-size", "is below 1");
   settings.keepalive = config.object("limits").span("keepalive-s");
   const Fields rules = config.object("rules");
-  if (settings.ask_for_list) settings.ask_within = rules.span("ask-within-s");
+  if (settings.explicit_subscription) settings.subscribe_timeout = rules.span("ask-within-s");
   settings.drain_grace = rules.span("drain-grace-s");
   settings.removal_binds = !rules.optional_flag("removal-not-binding").value_or(false);
   settings.cold_from = rules.number("cold-from");
--- a/src/shared_fleet/part.hpp
+++ b/src/shared_fleet/cluster_adapter.hpp
@@ -12,32 +12,35 @@
 
 namespace gorsemount::shared_fleet {
 
-struct Turn {
+struct ClusterUpdate {
   std::vector<coordinator::Input> inputs;  // for the core, in this order
   // Forwarders whose leading changed: a term to lead under, or none.
   struct Lead {
     ProxyId forwarder;
     std::optional<cluster::Term> now, before;
   };
-  std::vector<Lead> leads;
+  std::vector<Lead> lead_changes;
   std::size_t recalled = 0;  // facts that the core is to take over
 };
 
-class Part {
+class ClusterAdapter {
  public:
-  explicit Part(cluster::Cluster& cluster) : cluster_{&cluster} {}
+  explicit ClusterAdapter(cluster::Cluster& cluster) : cluster_{&cluster} {}
 
   [[nodiscard]] cluster::ShardId shard_of(ProxyId proxy, const coordinator::Settings& settings) const;
   // After whatever may have changed who leads.
-  [[nodiscard]] Turn look(Instant now, const coordinator::Settings& settings);
+  [[nodiscard]] ClusterUpdate poll_leadership(Instant now, const coordinator::Settings& settings);
   // A few times a second: tells and hears. `changed` facts are to be sent: tick the cluster.
-  [[nodiscard]] Turn tell(Instant now, const coordinator::Coordinator& core, bool& changed);
+  [[nodiscard]] ClusterUpdate exchange_facts(Instant now, const coordinator::Coordinator& core,
+                                             bool& changed);
   // Groups were renamed or moved: all are looked at anew.
-  void forget_groups() { groups_.clear(); }
-  [[nodiscard]] const std::map<ProxyId, std::optional<cluster::Term>>& led() const { return led_; }
+  void reset_groups() { groups_.clear(); }
+  [[nodiscard]] const std::map<ProxyId, std::optional<cluster::Term>>& forwarder_terms() const {
+    return led_;
+  }
 
  private:
-  void recall(Instant now, Turn& turn);
+  void recall(Instant now, ClusterUpdate& turn);
 
   cluster::Cluster* cluster_;
   std::map<ProxyId, std::optional<cluster::Term>> led_;
--- a/src/simhost/host.cpp
+++ b/src/simhost/host.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-std::string Host::reply_to(const std::string& line) {
+std::string Host::process_batch(const std::string& line) {
   const Json batch = Json::parse(line);
   const Fields fields{batch, "batch"};
   const Instant now = Instant::at_seconds(fields.number("sim-time-s"));
@@ -59,7 +59,7 @@
     addressed();
     instances_.erase(fields.unsigned_integer("i", kInstanceMost));
   } else if (kind == "registry") {
-    Listed listed;
+    BackendListUpdate listed;
     listed.scope = read_scope(fields);
     if (listed.scope != ListScope::failed) {
       const auto& bank = banks_[fields.unsigned_integer("bank", banks_.size() - 1)];
--- a/src/simhost/host.hpp
+++ b/src/simhost/host.hpp
@@ -14,7 +14,7 @@
 class Host {
  public:
   // Throws FieldError (or the JSON library's parse error) on what it can't read.
-  [[nodiscard]] std::string reply_to(const std::string& line);
+  [[nodiscard]] std::string process_batch(const std::string& line);
 
  private:
   struct Instance {
@@ -22,7 +22,7 @@
     std::string fault;
     std::vector<Event> pending;  // of the batch at hand
   };
-  using Bank = std::vector<Listed::Entry>;
+  using Bank = std::vector<BackendListUpdate::Entry>;
 
   void take(const Json& item, std::size_t place);
   void answer(Instant now, std::uint64_t id, Instance& instance, Json& output);
--- a/src/simhost/main.cpp
+++ b/src/simhost/main.cpp
@@ -12,7 +12,7 @@
   for (std::size_t number = 1; std::getline(std::cin, line); ++number) {
     if (line.empty()) continue;
     try {
-      std::cout << host.reply_to(line) << '\n' << std::flush;
+      std::cout << host.process_batch(line) << '\n' << std::flush;
     } catch (const std::exception& failure) {
       std::cerr << "gorsemount_simhost: line " << number << ": " << failure.what() << '\n';
       return 1;
--- a/src/simhost/wire.cpp
+++ b/src/simhost/wire.cpp
@@ -29,13 +29,13 @@
 
 }  // namespace
 
-std::vector<Listed::Entry> read_entries(const Fields& snapshot) {
-  std::vector<Listed::Entry> entries;
+std::vector<BackendListUpdate::Entry> read_entries(const Fields& snapshot) {
+  std::vector<BackendListUpdate::Entry> entries;
   const Json& rows = snapshot.array("members-list");
   entries.reserve(rows.size());
   for (std::size_t k = 0; k < rows.size(); ++k) {
     const Fields f{rows[k], "members-list[" + std::to_string(k) + "]"};
-    Listed::Entry entry;
+    BackendListUpdate::Entry entry;
     entry.backend = read_backend(f);
     entry.zone = read_zone(f);
     entry.weight = f.number("w");
@@ -56,9 +56,9 @@
 
 ListScope read_scope(const Fields& registry) {
   const auto scope = registry.text("scope");
-  if (scope == "delta") return ListScope::changes;
-  if (scope == "full") return ListScope::whole;
-  if (scope == "cached") return ListScope::remembered;
+  if (scope == "delta") return ListScope::delta;
+  if (scope == "full") return ListScope::full;
+  if (scope == "cached") return ListScope::cached;
   if (scope == "failed") return ListScope::failed;
   registry.fail("scope", "is not known: " + scope);
 }
@@ -69,13 +69,13 @@
   if (kind == "disconnected") return ProxyLeft{read_proxy(f)};
   if (kind == "digest") {
     BackendReport r;
-    r.proxies_in = read_zone(f);
+    r.proxy_zone = read_zone(f);
     r.backend = read_backend(f);
     r.tries = read_count(f, "many");
     r.errored = read_count(f, "lost");
     r.mean_latency = f.span("cost-time-s");
-    r.over = f.span("elapsed-s");
-    if (const auto load = f.optional_object("load")) r.busy = load->optional_number("cpu");
+    r.interval = f.span("elapsed-s");
+    if (const auto load = f.optional_object("load")) r.utilization = load->optional_number("cpu");
     return r;
   }
   if (kind == "ingress") {
@@ -83,7 +83,7 @@
     r.proxy = read_proxy(f);
     r.operation = OperationId{static_cast<std::uint8_t>(f.unsigned_integer("service", 255))};
     r.arrived = read_count(f, "many");
-    r.over = f.span("elapsed-s");
+    r.interval = f.span("elapsed-s");
     return r;
   }
   return std::nullopt;
@@ -93,21 +93,21 @@
   const auto mask_of = [](OperationId op) { return std::uint64_t{1} << op.value; };
   struct Writer {
     decltype(mask_of)& mask;
-    Json operator()(const SetLine& o) const {
+    Json operator()(const SetWeight& o) const {
       return {{"t", "set-weight"}, {"sheet", o.table.value}, {"backend", o.backend.value}, {"w", o.weight}};
     }
     Json operator()(const BindProxy& o) const {
       return {{"t", "subscribe-to"}, {"client-lb", o.proxy.value}, {"sheet", o.table.value}, {"mask", 0}};
     }
-    Json operator()(const SetLevel& o) const {
+    Json operator()(const SetAdmission& o) const {
       return {{"t", "throttle"},
               {"sheet", o.table.value},
               {"mask", mask(o.operation)},
-              {"how", static_cast<int>(o.tries)},
-              {"quota", o.level}};
+              {"how", static_cast<int>(o.retries)},
+              {"quota", o.limit}};
     }
-    Json operator()(const FollowList&) const { return {{"t", "stream-changes"}, {"on", true}}; }
-    Json operator()(const WakeMe& o) const {
+    Json operator()(const SubscribeToList&) const { return {{"t", "stream-changes"}, {"on", true}}; }
+    Json operator()(const SetTimer& o) const {
       return {{"t", "remind"}, {"from-now-s", o.after.seconds()}, {"tag", o.tag.value}};
     }
   };
--- a/src/simhost/wire.hpp
+++ b/src/simhost/wire.hpp
@@ -10,7 +10,7 @@
 
 namespace gorsemount::simhost {
 
-[[nodiscard]] std::vector<Listed::Entry> read_entries(const Fields& snapshot);
+[[nodiscard]] std::vector<BackendListUpdate::Entry> read_entries(const Fields& snapshot);
 [[nodiscard]] ListScope read_scope(const Fields& registry);
 
 // One event for a module; nothing for kinds that the module has no use for.
--- a/src/spill/flows.hpp
+++ b/src/spillover/flow_solver.hpp
@@ -7,15 +7,15 @@
 #include <cstddef>
 #include <vector>
 
-namespace gorsemount::spill {
+namespace gorsemount::spillover {
 
-struct Problem {
-  struct Class {                 // invocations of one operation
+struct FlowProblem {
+  struct OperationDemand {       // invocations of one operation
     double value = 0;            // billed, each
     double cost = 1;             // of capacity, each
     std::vector<double> demand;  // a second, by proxy zone
   };
-  std::vector<Class> classes;
+  std::vector<OperationDemand> operations;
   std::vector<double> capacity;  // cost a second, by backend zone
   std::vector<std::vector<int>>
       tier;  // [proxy zone][backend zone]: 0 own, 1 near, 2 far; below 0: can't be reached
@@ -25,7 +25,7 @@
   std::vector<double> even;
 };
 
-struct Solution {
+struct FlowSolution {
   std::vector<std::vector<double>> flow;      // cost a second, [proxy zone][backend zone]
   std::vector<std::vector<double>> admitted;  // part of the demand, [class][proxy zone]
   double fullest = 0;                         // in strain: cost a second, over `even`, of the fullest zone
@@ -39,6 +39,6 @@
 inline constexpr double kTierCost = 4;
 
 // Throws std::runtime_error if the solver fails, which a problem of this form can't make it do.
-[[nodiscard]] Solution solve(const Problem& problem);
+[[nodiscard]] FlowSolution solve(const FlowProblem& problem);
 
-}  // namespace gorsemount::spill
+}  // namespace gorsemount::spillover
--- a/src/spill/spill.cpp
+++ b/src/spillover/spillover_planner.cpp
@@ -1,10 +1,10 @@
-#include "spill/spill.hpp"
+#include "spillover/spillover_planner.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-namespace gorsemount::spill {
+namespace gorsemount::spillover {
 
 namespace {
 
@@ -52,15 +52,15 @@
 
 }  // namespace
 
-Spill::Spill(std::vector<std::vector<int>> tier)
+SpilloverPlanner::SpilloverPlanner(std::vector<std::vector<int>> tier)
     : tier_{std::move(tier)}, zones_(tier_.empty() ? 0 : tier_[0].size()) {}
 
-std::optional<double> Spill::shown(const Zone& z) const {
+std::optional<double> SpilloverPlanner::shown(const Zone& z) const {
   if (z.able.size() < kRounds / 2) return {};  // the first rounds lag behind a load that has just begun
   return quantile(z.able, kQuantile);
 }
 
-std::optional<double> Spill::capacity(std::size_t zone) const {
+std::optional<double> SpilloverPlanner::capacity(std::size_t zone) const {
   const Zone& z = zones_.at(zone);
   const auto own = shown(z);
   if (!own) return {};
@@ -71,7 +71,7 @@
   return kMargin * std::min(*own, kUnlike * all[(all.size() - 1) / 2]) * z.weight * z.ceiling;
 }
 
-bool Spill::room_without(std::size_t zone) const {
+bool SpilloverPlanner::has_capacity_without(std::size_t zone) const {
   double room = 0;
   for (std::size_t z = 0; z < zones_.size(); ++z) {
     const auto able = capacity(z);
@@ -83,9 +83,9 @@
 
 // A zone's loss and return. Guards against a zone that flaps: it falls at once, and each climb after a
 // relapse is slower.
-void Spill::follow(Instant now, Zone& z, const ZoneNow& seen) {
+void SpilloverPlanner::follow(Instant now, Zone& z, const ZoneSample& seen) {
   z.weight = seen.weight;
-  const double part = seen.listed > 0 ? seen.weight / seen.listed : 0;
+  const double part = seen.listed_weight > 0 ? seen.weight / seen.listed_weight : 0;
   const bool rises = part > std::exchange(z.part, part);
   // While the rest is in strain a first return is paced by the module's ramp alone: each second of what is
   // back is worth more than a gentler climb, and the ramp keeps cold backends far from what they fall over
@@ -112,23 +112,23 @@
   z.ceiling = std::min(1.0, z.ceiling + kUp * (z.relapses > 0 ? kSlower : 1)), z.since = now;
 }
 
-Spill::Decision Spill::decide(Instant now, const std::vector<ZoneNow>& seen,
-                              const std::vector<Problem::Class>& classes, const Trips& trips,
-                              const Cut& cut) {
+SpilloverPlanner::Decision SpilloverPlanner::decide(Instant now, const std::vector<ZoneSample>& seen,
+                                                    const std::vector<FlowProblem::OperationDemand>& classes,
+                                                    const ZoneLatencies& trips, const UnreachablePairs& cut) {
   const std::size_t proxies = tier_.size(), backends = zones_.size();
   Decision d;
-  d.tiers_doubted.assign(proxies, false);
+  d.tier_mismatch.assign(proxies, false);
   for (std::size_t b = 0; b < backends; ++b) {
     Zone& z = zones_[b];
-    const ZoneNow& n = seen[b];
-    if (n.weight > 0 && n.pressure > kIdle && n.pressure < kJammed) {
-      z.able.push_back(n.carried / n.pressure / n.weight);
+    const ZoneSample& n = seen[b];
+    if (n.weight > 0 && n.cpu_utilization > kIdle && n.cpu_utilization < kJammed) {
+      z.able.push_back(n.goodput / n.cpu_utilization / n.weight);
       if (z.able.size() > kRounds) z.able.pop_front();
     }
     follow(now, z, n);
   }
-  Problem p;
-  p.classes = classes, p.tier = tier_;
+  FlowProblem p;
+  p.operations = classes, p.tier = tier_;
   for (const auto& [a, b] : cut)
     if (a < proxies && b < backends) p.tier[a][b] = -1;
   double demand = 0, usual = 0;
@@ -158,7 +158,7 @@
           continue;
         const Span least = std::min(to_b->second, to_c->second);
         if (to_b->second - to_c->second > std::max(Span::seconds(0.001), least * kTripNoise))
-          d.tiers_doubted[a] = true;
+          d.tier_mismatch[a] = true;
       }
   std::vector<double> of_zone(proxies, 0);
   for (const auto& c : classes)
@@ -168,7 +168,7 @@
     for (std::size_t a = 0; a < proxies; ++a)
       for (std::size_t b = 0; b < backends; ++b) p.now[a][b] = parts_[a][b] * of_zone[a];
   }
-  Solution s = solve(p);
+  FlowSolution s = solve(p);
   d.admitted = s.admitted;
   std::vector<std::vector<double>> wanted(proxies, std::vector<double>(backends, 0));
   double room = 0;
@@ -185,12 +185,12 @@
     }
     strain_until_ = std::max(strain_until_, now + kHold * (1 << strains_));
   }
-  d.strain = now < strain_until_;
+  d.overloaded = now < strain_until_;
   // A cold backend gets no more than the module's ramp gave it in any table, so a zone on its way back fills
   // only if all proxies feed it: each gives it the same part, and the rest goes as it went.
   std::vector<double> fed(backends, 0);
   double rest = 1;
-  if (d.strain && room > 0) {
+  if (d.overloaded && room > 0) {
     std::size_t whole = 0;
     for (std::size_t b = 0; b < backends; ++b) {
       const Zone& z = zones_[b];
@@ -229,13 +229,13 @@
     for (double& part : wanted[a]) part /= std::max(1e-9, sum);
   }
   const auto turn_to = [&] {
-    d.turn_to.assign(proxies, std::vector<int>(backends, 0));
+    d.failover_tier.assign(proxies, std::vector<int>(backends, 0));
     for (std::size_t a = 0; a < proxies; ++a)
       for (std::size_t b = 0; b < backends; ++b)
-        if (parts_[a][b] <= kFloor * 2) d.turn_to[a][b] = std::max(0, tier_[a][b]);
+        if (parts_[a][b] <= kFloor * 2) d.failover_tier[a][b] = std::max(0, tier_[a][b]);
   };
   if (parts_.empty()) {
-    d.parts = parts_ = wanted;
+    d.shares = parts_ = wanted;
     d.moved = 1;
     turn_to();
     return d;
@@ -262,9 +262,9 @@
     for (double& v : parts_[a]) v /= sum;
     d.moved += bound * of_zone[a] / demand;
   }
-  d.parts = parts_;
+  d.shares = parts_;
   turn_to();
   return d;
 }
 
-}  // namespace gorsemount::spill
+}  // namespace gorsemount::spillover
--- a/src/spill/spill.hpp
+++ b/src/spillover/spillover_planner.hpp
@@ -12,50 +12,50 @@
 
 #include "core/ids.hpp"
 #include "core/time.hpp"
-#include "spill/flows.hpp"
+#include "spillover/flow_solver.hpp"
 
-namespace gorsemount::spill {
+namespace gorsemount::spillover {
 
 // Of a backend zone, as it stands now.
-struct ZoneNow {
-  double weight = 0;    // what the module has in its tables, of warm and cold ones together
-  double listed = 0;    // of all that the list calls ready
-  double carried = 0;   // cost a second that came back in time, since the last look
-  double pressure = 0;  // use of processors; 0: they do not tell
+struct ZoneSample {
+  double weight = 0;           // what the module has in its tables, of warm and cold ones together
+  double listed_weight = 0;    // of all that the list calls ready
+  double goodput = 0;          // cost a second that came back in time, since the last look
+  double cpu_utilization = 0;  // use of processors; 0: they do not tell
 };
 // How long work takes from a proxy zone to a backend zone, at the quickest backends there: the trip, and work
 // that is the same everywhere. Absent: nothing was measured.
-using Trips = std::map<std::pair<std::size_t, std::size_t>, Span>;
+using ZoneLatencies = std::map<std::pair<std::size_t, std::size_t>, Span>;
 // Pairs that can't reach each other, by the module's ladders of links.
-using Cut = std::set<std::pair<std::size_t, std::size_t>>;
+using UnreachablePairs = std::set<std::pair<std::size_t, std::size_t>>;
 
-class Spill {
+class SpilloverPlanner {
  public:
   // `tier`: [proxy zone][backend zone], from the settings.
-  explicit Spill(std::vector<std::vector<int>> tier);
+  explicit SpilloverPlanner(std::vector<std::vector<int>> tier);
 
   // After each round of reports. The parts of each proxy zone's work that are to go to each backend zone,
   // each row adding up to 1, or empty rows where nothing is known yet: the module's weights stand alone then.
   struct Decision {
-    std::vector<std::vector<double>> parts;
+    std::vector<std::vector<double>> shares;
     std::vector<std::vector<double>> admitted;  // [class][proxy zone]
-    bool strain = false;                        // tiers are off: see spill.cpp
+    bool overloaded = false;                    // tiers are off: see spill.cpp
     double moved = 0;                           // part of all work that this step moves
-    std::vector<bool> tiers_doubted;            // by proxy zone: measured trips say otherwise
+    std::vector<bool> tier_mismatch;            // by proxy zone: measured trips say otherwise
     // Of each backend zone, by proxy zone: 0, work is meant to go there; else its tier, to turn to where the
     // first fail.
-    std::vector<std::vector<int>> turn_to;
+    std::vector<std::vector<int>> failover_tier;
   };
-  [[nodiscard]] Decision decide(Instant now, const std::vector<ZoneNow>& zones,
-                                const std::vector<Problem::Class>& classes, const Trips& trips,
-                                const Cut& cut = {});
+  [[nodiscard]] Decision decide(Instant now, const std::vector<ZoneSample>& zones,
+                                const std::vector<FlowProblem::OperationDemand>& classes,
+                                const ZoneLatencies& trips, const UnreachablePairs& cut = {});
 
   // What a zone may be asked to take: what its full weight has carried for its use, with a margin, times the
   // weight that stands. Empty: it has not shown enough.
   [[nodiscard]] std::optional<double> capacity(std::size_t zone) const;
   // Whether what came at the last look would find room without a zone, by all that is known; true if too
   // little is.
-  [[nodiscard]] bool room_without(std::size_t zone) const;
+  [[nodiscard]] bool has_capacity_without(std::size_t zone) const;
   [[nodiscard]] double ceiling(std::size_t zone) const { return zones_.at(zone).ceiling; }
 
  private:
@@ -69,7 +69,7 @@
     double part = 1;     // of its listed weight, at the last look
     bool early = false;  // back, in strain, before its weight says so
   };
-  void follow(Instant now, Zone& zone, const ZoneNow& seen);
+  void follow(Instant now, Zone& zone, const ZoneSample& seen);
   [[nodiscard]] std::optional<double> shown(const Zone& zone) const;
 
   std::vector<std::vector<int>> tier_;
@@ -80,4 +80,4 @@
   int strains_ = 0;  // of late
 };
 
-}  // namespace gorsemount::spill
+}  // namespace gorsemount::spillover
--- a/src/standins/forwarder.cpp
+++ b/src/standins/forwarder.cpp
@@ -272,7 +272,7 @@
     call->connection = connection, call->operation = k, call->id = request.body, call->came = loop_.now();
     ++arrived_[s_.operations[k].name];
     if (!admitted(k)) return answer(*call, 429, true);
-    meter_.first(loop_.now());
+    meter_.record_first_try(loop_.now());
     // While it reads lines it stands still, and whoever comes waits for that.
     loop_.at(std::max(loop_.now(), still_until_), [this, call] { forward(call); });
     return;
@@ -369,7 +369,7 @@
   const int most = how == 0 ? 1 : how == 3 ? 3 : 2;
   const bool may = how > 0 && call->tries < most && (proof || (how >= 2 && op.may_repeat()));
   if (may && loop_.now() - call->came < op.integration_timeout * 0.6 &&
-      meter_.again(loop_.now(), value("retries", -1))) {
+      meter_.allow_retry(loop_.now(), value("retries", -1))) {
     ++further_[op.name];
     return forward(call);
   }
--- a/src/standins/forwarder.hpp
+++ b/src/standins/forwarder.hpp
@@ -10,7 +10,7 @@
 #include <set>
 #include <string>
 
-#include "limits/retry_meter.hpp"
+#include "limits/retry_limiter.hpp"
 #include "net/http.hpp"
 #include "runtime_api/codec.hpp"
 #include "runtime_api/command_server.hpp"
@@ -78,7 +78,7 @@
   std::map<Key, Line> lines_;
   std::map<std::string, int> values_;
   std::map<std::string, std::uint64_t> arrived_, further_;
-  limits::RetryMeter meter_;
+  limits::RetryLimiter meter_;
   std::map<std::string, std::pair<double, Instant>> tokens_;  // of rates, by operation
   std::optional<TroubleKind> fault_;
   Instant started_, still_until_;  // it stands still while it reads lines
--- a/src/store/disk.cpp
+++ b/src/store/disk.cpp
@@ -62,7 +62,7 @@
       open_.erase(from);
     }
   }
-  void sync_folder() override {
+  void sync_directory() override {
     if (::fsync(dir_) != 0) fail("can't be synced");
   }
   void remove(const std::string& name) override {
@@ -96,7 +96,7 @@
     return text;
   }
 
-  std::string read_part(const std::string& name, std::size_t from, std::size_t most) override {
+  std::string read_range(const std::string& name, std::size_t from, std::size_t most) override {
     const int fd = ::openat(dir_, name.c_str(), O_RDONLY | O_CLOEXEC);
     if (fd < 0) fail(name + " can't be read");
     std::string text(most, '\0');
@@ -137,7 +137,7 @@
 
 }  // namespace
 
-std::unique_ptr<Disk> open_folder(const std::string& folder, bool only_read) {
+std::unique_ptr<Disk> open_directory(const std::string& folder, bool only_read) {
   return std::make_unique<Folder>(folder, only_read);
 }
 
--- a/src/store/disk.hpp
+++ b/src/store/disk.hpp
@@ -23,18 +23,18 @@
   virtual void append(const std::string& name, std::string_view bytes) = 0;
   virtual void sync(const std::string& name) = 0;  // its bytes outlast a loss of power
   virtual void rename(const std::string& from, const std::string& to) = 0;
-  virtual void sync_folder() = 0;                    // names outlast it too
+  virtual void sync_directory() = 0;                 // names outlast it too
   virtual void remove(const std::string& name) = 0;  // of one that is not there: nothing
   [[nodiscard]] virtual std::vector<std::string> list() = 0;
   [[nodiscard]] virtual std::string read(const std::string& name) = 0;
   // At most `most` bytes from a place on; empty at the end. From any thread, beside all else.
-  [[nodiscard]] virtual std::string read_part(const std::string& name, std::size_t from, std::size_t most) {
+  [[nodiscard]] virtual std::string read_range(const std::string& name, std::size_t from, std::size_t most) {
     return read(name).substr(from, most);
   }
 };
 
 // A folder of a real disk, made if it is not there. Locked against a second process; throws DiskError if it
 // is.
-[[nodiscard]] std::unique_ptr<Disk> open_folder(const std::string& folder, bool only_read = false);
+[[nodiscard]] std::unique_ptr<Disk> open_directory(const std::string& folder, bool only_read = false);
 
 }  // namespace gorsemount::store
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -10,7 +10,7 @@
 
 namespace gorsemount::store {
 
-using recovery::Clocks;
+using recovery::ClockReading;
 using recovery::Entry;
 
 namespace {
@@ -40,7 +40,7 @@
   std::uint8_t kind = 0;
   std::uint16_t schema = 0;
   std::uint64_t sequence = 0;
-  Clocks at;
+  ClockReading at;
   std::string_view payload;
   std::size_t size = 0;
 };
@@ -64,8 +64,8 @@
     r.schema = get<std::uint16_t>(left, 4), r.kind = get<std::uint8_t>(left, 6);
     const bool mac = get<std::uint8_t>(left, 7) != 0;
     const std::size_t length = get<std::uint32_t>(left, 8);
-    r.sequence = get<std::uint64_t>(left, 12), r.at.wall = get<std::int64_t>(left, 20),
-    r.at.mono = get<std::int64_t>(left, 28);
+    r.sequence = get<std::uint64_t>(left, 12), r.at.wall_us = get<std::int64_t>(left, 20),
+    r.at.monotonic_us = get<std::int64_t>(left, 28);
     if (length > kPayloadMost) return bad("a record that announces " + std::to_string(length) + " bytes");
     r.size = kHead + length + kSum + (mac ? kMac : 0);
     short_ = left.size() < r.size;
@@ -124,14 +124,14 @@
 
 }  // namespace
 
-Loaded load(Disk& disk, const StoreSettings& s, const Clocks& now) {
+Loaded load(Disk& disk, const StoreSettings& s, const ClockReading& now) {
   Loaded result;
   if (s.key && sodium_init() < 0) throw DiskError{"libsodium can't start"};
   std::vector<std::uint64_t> all;
   try {
     all = generations(disk);
   } catch (const DiskError& fault) {
-    result.blank = fault.what();
+    result.empty_reason = fault.what();
     return result;
   }
   for (const auto generation : all) {
@@ -144,22 +144,22 @@
       continue;
     }
     Walk walk{bytes, s};
-    recovery::Knowledge known;
-    Clocks last;
+    recovery::FactLog known;
+    ClockReading last;
     bool whole = false, wrong = false;
     std::string boot, refused;
     while (const auto r = walk.next()) {
       last = r->at;
       if (r->kind == identity) {
         const auto zero = r->payload.find('\0');
-        const std::string who{r->payload.substr(0, zero)};
+        const std::string owner{r->payload.substr(0, zero)};
         boot = zero == std::string_view::npos ? "" : std::string{r->payload.substr(zero + 1)};
-        if (!s.who.empty() && who != s.who) {  // empty: a person looks
-          refused = "it is of '" + who + "', not of '" + s.who + "'";
+        if (!s.owner.empty() && owner != s.owner) {  // empty: a person looks
+          refused = "it is of '" + owner + "', not of '" + s.owner + "'";
           break;
         }
       } else if (r->kind == facts || r->kind == changes) {
-        auto entries = recovery::decode(r->payload, Instant{} + Span::micros(r->at.mono));
+        auto entries = recovery::decode(r->payload, Instant{} + Span::micros(r->at.monotonic_us));
         if (const auto* fault = std::get_if<std::string>(&entries)) {
           result.faults.push_back(file + ": before byte " + std::to_string(walk.at()) + ": " + *fault);
           wrong = true;
@@ -180,31 +180,32 @@
       if (!whole) result.faults.push_back(file + ": its snapshot is not whole");
       continue;
     }
-    last.boot = boot;
+    last.boot_id = boot;
     result.generation = generation;
     result.age = recovery::age_of(last, now);
     // From the writer's clock to the reader's.
-    const std::int64_t age = result.age.span ? result.age.span->micros() : 0;
-    const Span shift = Span::micros(now.mono - age - last.mono);
-    if (result.age.span) result.confirmed = Instant{} + Span::micros(now.mono - age);
+    const std::int64_t age = result.age.elapsed ? result.age.elapsed->micros() : 0;
+    const Span shift = Span::micros(now.monotonic_us - age - last.monotonic_us);
+    if (result.age.elapsed) result.confirmed_at = Instant{} + Span::micros(now.monotonic_us - age);
     for (auto e : known.after(0)) {
-      if (e.gone) continue;
+      if (e.deleted) continue;
       e.learned = e.learned + shift;
       for (auto& [name, time] : e.fact.times) time = time + shift;
       result.entries.push_back(std::move(e));
     }
     return result;
   }
-  result.blank = all.empty() ? "nothing was written yet" : "no generation can be believed";
+  result.empty_reason = all.empty() ? "nothing was written yet" : "no generation can be believed";
   return result;
 }
 
 std::string Store::name(std::uint64_t generation) const { return std::to_string(generation) + ".store"; }
 
-void Store::record(std::string& out, std::uint8_t kind, const Clocks& now, std::string_view payload) {
+void Store::record(std::string& out, std::uint8_t kind, const ClockReading& now, std::string_view payload) {
   std::string r;
   put(r, kMagic), put(r, kSchema), put(r, kind), put(r, static_cast<std::uint8_t>(s_.key ? 1 : 0));
-  put(r, static_cast<std::uint32_t>(payload.size())), put(r, ++sequence_), put(r, now.wall), put(r, now.mono);
+  put(r, static_cast<std::uint32_t>(payload.size())), put(r, ++sequence_), put(r, now.wall_us),
+      put(r, now.monotonic_us);
   r += payload;
   const std::uint64_t sum = XXH3_64bits(r.data(), r.size());
   if (s_.key) {
@@ -218,7 +219,7 @@
   out += r;
 }
 
-Store::Store(Disk& disk, StoreSettings settings, const Clocks& now, const std::vector<Entry>& entries)
+Store::Store(Disk& disk, StoreSettings settings, const ClockReading& now, const std::vector<Entry>& entries)
     : disk_{&disk}, s_{std::move(settings)} {
   if (s_.key && sodium_init() < 0) throw DiskError{"libsodium can't start"};
   const auto all = generations(disk);
@@ -228,33 +229,33 @@
   snapshot(now, entries);
 }
 
-void Store::snapshot(const Clocks& now, const std::vector<Entry>& entries) {
+void Store::snapshot(const ClockReading& now, const std::vector<Entry>& entries) {
   const std::uint64_t generation = generation_ + 1;
   const std::string fresh = std::to_string(generation) + ".new";
   sequence_ = 0, chain_ = {};
   std::string bytes;
-  record(bytes, identity, now, s_.who + std::string(1, '\0') + now.boot);
+  record(bytes, identity, now, s_.owner + std::string(1, '\0') + now.boot_id);
   for (std::size_t k = 0; k < entries.size(); k += kBatch)
     record(bytes, facts, now,
            recovery::encode(
                {entries.begin() + static_cast<std::ptrdiff_t>(k),
                 entries.begin() + static_cast<std::ptrdiff_t>(std::min(entries.size(), k + kBatch))},
-               Instant{} + Span::micros(now.mono)));
+               Instant{} + Span::micros(now.monotonic_us)));
   record(bytes, snapshot_ends, now, {});
   disk_->create(fresh);
   disk_->append(fresh, bytes);
   if (s_.sync) disk_->sync(fresh), ++syncs_;
   disk_->rename(fresh, name(generation));
-  if (s_.sync) disk_->sync_folder(), ++syncs_;
+  if (s_.sync) disk_->sync_directory(), ++syncs_;
   generation_ = generation, behind_ = 0, of_snapshot_ = bytes.size(), bytes_ += bytes.size();
   // Only now may the oldest go.
   const auto all = generations(*disk_);
   for (std::size_t k = kGenerations; k < all.size(); ++k) disk_->remove(name(all[k]));
 }
 
-void Store::write(const Clocks& now, const std::vector<Entry>& entries) {
+void Store::write(const ClockReading& now, const std::vector<Entry>& entries) {
   std::string bytes;
-  record(bytes, changes, now, recovery::encode(entries, Instant{} + Span::micros(now.mono)));
+  record(bytes, changes, now, recovery::encode(entries, Instant{} + Span::micros(now.monotonic_us)));
   disk_->append(name(generation_), bytes);
   behind_ += bytes.size(), bytes_ += bytes.size();
 }
@@ -265,7 +266,7 @@
   ++syncs_;
 }
 
-bool Store::snapshot_due() const { return behind_ > std::max(s_.snapshot_after, of_snapshot_); }
+bool Store::snapshot_due() const { return behind_ > std::max(s_.snapshot_threshold_bytes, of_snapshot_); }
 
 struct Verification::State {
   State(Disk& where, const StoreSettings& settings) : disk{where}, s{settings} {}
@@ -291,7 +292,7 @@
   if (v.done) return 0;
   std::string more;
   try {
-    more = v.disk.read_part(v.checked.file, v.checked.bytes, most);
+    more = v.disk.read_range(v.checked.file, v.checked.bytes, most);
   } catch (const DiskError& fault) {
     const auto names = v.disk.list();
     if (std::find(names.begin(), names.end(), v.checked.file) != names.end()) v.checked.fault = fault.what();
@@ -303,13 +304,13 @@
   v.walk.go_on(v.bytes);
   while (const auto r = v.walk.next()) {
     ++v.checked.records;
-    v.checked.whole_snapshot = v.checked.whole_snapshot || r->kind == snapshot_ends;
+    v.checked.snapshot_complete = v.checked.snapshot_complete || r->kind == snapshot_ends;
     if (r->kind != facts && r->kind != changes) continue;
     if (const auto entries = recovery::decode(r->payload, Instant{});
         std::holds_alternative<std::string>(entries) && v.checked.fault.empty())
       v.checked.fault = "before byte " + std::to_string(v.walk.at()) + ": " + std::get<std::string>(entries);
   }
-  v.checked.good = v.walk.at();
+  v.checked.valid_bytes = v.walk.at();
   const bool ended = more.size() < most;
   v.done = ended || !(v.walk.fault().empty() || v.walk.is_short());
   if (v.done && v.checked.fault.empty()) v.checked.fault = v.walk.fault();
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -11,18 +11,18 @@
 #include <vector>
 
 #include "recovery/age.hpp"
-#include "recovery/knowledge.hpp"
+#include "recovery/fact_log.hpp"
 #include "store/disk.hpp"
 
 namespace gorsemount::store {
 
 inline constexpr std::uint16_t kSchema = 2;  // 1 had no times beside the facts' own
-using Key = std::array<std::uint8_t, 32>;
+using MacKey = std::array<std::uint8_t, 32>;
 
 struct StoreSettings {
-  std::string who;  // of whom the facts are; another's are not taken
-  std::optional<Key> key;
-  std::size_t snapshot_after =
+  std::string owner;  // of whom the facts are; another's are not taken
+  std::optional<MacKey> key;
+  std::size_t snapshot_threshold_bytes =
       1U << 20U;  // bytes of changes behind a snapshot, or as many as it has itself if more
   // For tests that must find the damage.
   bool sync = true, check = true;
@@ -30,32 +30,33 @@
 
 struct Loaded {
   std::vector<recovery::Entry> entries;  // times on the reader's clock
-  std::optional<Instant> confirmed;      // all of it held then; absent: nobody can tell, it is hints
+  std::optional<Instant> confirmed_at;   // all of it held then; absent: nobody can tell, it is hints
   recovery::Age age;
   std::uint64_t generation = 0;
-  std::string blank;                // why there is nothing; empty: there is something
+  std::string empty_reason;         // why there is nothing; empty: there is something
   std::vector<std::string> faults;  // what was passed over, with file and place
 };
 
-// `now`: the reader's clocks; its Instants count in `now.mono`.
-[[nodiscard]] Loaded load(Disk& disk, const StoreSettings& settings, const recovery::Clocks& now);
+// `now`: the reader's clocks; its Instants count in `now.monotonic_us`.
+[[nodiscard]] Loaded load(Disk& disk, const StoreSettings& settings, const recovery::ClockReading& now);
 
 class Store {
  public:
   // Begins a new generation from what is given. Throws DiskError.
-  Store(Disk& disk, StoreSettings settings, const recovery::Clocks& now,
+  Store(Disk& disk, StoreSettings settings, const recovery::ClockReading& now,
         const std::vector<recovery::Entry>& entries);
 
   // What changed, and that the rest still holds. Throws DiskError; the store is then of no more use.
-  void write(const recovery::Clocks& now, const std::vector<recovery::Entry>& changes);
+  void write(const recovery::ClockReading& now, const std::vector<recovery::Entry>& changes);
   void sync();
   [[nodiscard]] bool snapshot_due() const;
-  void snapshot(const recovery::Clocks& now, const std::vector<recovery::Entry>& entries);
+  void snapshot(const recovery::ClockReading& now, const std::vector<recovery::Entry>& entries);
   [[nodiscard]] std::uint64_t bytes() const { return bytes_; }
   [[nodiscard]] std::uint64_t syncs() const { return syncs_; }
 
  private:
-  void record(std::string& out, std::uint8_t kind, const recovery::Clocks& now, std::string_view payload);
+  void record(std::string& out, std::uint8_t kind, const recovery::ClockReading& now,
+              std::string_view payload);
   [[nodiscard]] std::string name(std::uint64_t generation) const;
 
   Disk* disk_;
@@ -68,8 +69,8 @@
 // Of one file: each record's place, kind and what is wrong with the first bad one. For people.
 struct Checked {
   std::string file, fault;
-  std::size_t records = 0, bytes = 0, good = 0;
-  bool whole_snapshot = false;
+  std::size_t records = 0, bytes = 0, valid_bytes = 0;
+  bool snapshot_complete = false;
 };
 [[nodiscard]] std::vector<Checked> verify(Disk& disk, const StoreSettings& settings);
 
--- a/src/store/keeper.cpp
+++ b/src/store/store_writer.cpp
@@ -1,11 +1,11 @@
-#include "store/keeper.hpp"
+#include "store/store_writer.hpp"
 
 #include <utility>
 
 namespace gorsemount::store {
 
-using background::Piece;
-using recovery::Clocks;
+using background::StepResult;
+using recovery::ClockReading;
 
 namespace {
 
@@ -18,12 +18,12 @@
 // Of a core for all that is not a promise: what answers shares the machine.
 constexpr double kShare = 0.2;
 
-Instant at(const Clocks& c) { return Instant{} + Span::micros(c.mono); }
+Instant at(const ClockReading& c) { return Instant{} + Span::micros(c.monotonic_us); }
 
 }  // namespace
 
-Keeper::Keeper(background::Background& background, std::unique_ptr<Disk> disk, StoreSettings settings,
-               std::vector<recovery::Entry> first, Read clocks, Say say)
+StoreWriter::StoreWriter(background::Executor& background, std::unique_ptr<Disk> disk, StoreSettings settings,
+                         std::vector<recovery::Entry> first, Read clocks, Say say)
     : background_{background},
       disk_{std::move(disk)},
       s_{std::move(settings)},
@@ -36,34 +36,34 @@
     stop(fault.what());
   }
   for (auto& e : first) known_.put(std::move(e));
-  written_ = known_.last();
+  written_ = known_.last_sequence();
   write_ = background_.add({"store write", 0, kWrite, 0, 1}, [this] { return write(); });
   snapshot_ = background_.add({"store snapshot", 1, {}, 0, 1}, [this] { return snapshot(); });
   check_ = background_.add({"store check", 3, kCheck, kCheckBytes, kShare}, [this] { return check(); });
 }
 
-Keeper::~Keeper() {
+StoreWriter::~StoreWriter() {
   for (const auto task : {check_, snapshot_, write_}) background_.remove(task);
   static_cast<void>(write());
 }
 
-void Keeper::keep(recovery::Facts facts) {
+void StoreWriter::submit(recovery::Facts facts) {
   const std::lock_guard lock{lock_};
   if (!counters_.stopped) waiting_ = std::move(facts);  // the latest is all that counts
 }
 
-Keeper::Counters Keeper::counters() const {
+StoreWriter::Counters StoreWriter::counters() const {
   const std::lock_guard lock{lock_};
   return counters_;
 }
 
-void Keeper::stop(const std::string& why) {
+void StoreWriter::stop(const std::string& why) {
   say_("store_stopped", why);
   const std::lock_guard lock{lock_};
   counters_.stopped = true, waiting_.reset();
 }
 
-Piece Keeper::write() {
+StepResult StoreWriter::write() {
   std::optional<recovery::Facts> facts;
   {
     const std::lock_guard lock{lock_};
@@ -72,20 +72,20 @@
   }
   try {
     const std::lock_guard hold{store_lock_};
-    const Clocks now = clocks_();
+    const ClockReading now = clocks_();
     if (facts) known_.observe(at(now), *facts);
     const auto before = store_->bytes();
     // With nothing new too: that it still holds is news.
     store_->write(now, known_.after(written_));
     store_->sync();
-    written_ = known_.last();
-    known_.forget_gone(at(now), written_);
+    written_ = known_.last_sequence();
+    known_.purge_deleted(at(now), written_);
     const bool due = store_->snapshot_due();
     {
       const std::lock_guard lock{lock_};
       counters_.bytes = store_->bytes(), counters_.syncs = store_->syncs();
     }
-    if (due) background_.ask_for(snapshot_);
+    if (due) background_.request_run(snapshot_);
     return {store_->bytes() - before, true};
   } catch (const DiskError& fault) {
     stop(fault.what());
@@ -93,13 +93,13 @@
   }
 }
 
-Piece Keeper::snapshot() {
+StepResult StoreWriter::snapshot() {
   if (counters().stopped) return {};
   try {
     const std::lock_guard hold{store_lock_};
     std::vector<recovery::Entry> live;
     for (auto& e : known_.after(0))
-      if (!e.gone) live.push_back(std::move(e));
+      if (!e.deleted) live.push_back(std::move(e));
     const auto before = store_->bytes();
     store_->snapshot(clocks_(), live);
     const std::lock_guard lock{lock_};
@@ -112,7 +112,7 @@
 }
 
 // In slices, of the older generation: the newer one is still being written, and is read at the next start.
-Piece Keeper::check() {
+StepResult StoreWriter::check() {
   if (counters().stopped) return {};
   std::size_t n = 0;
   try {
--- a/src/store/keeper.hpp
+++ b/src/store/store_writer.hpp
@@ -9,23 +9,23 @@
 #include <optional>
 #include <vector>
 
-#include "background/background.hpp"
+#include "background/executor.hpp"
 #include "store/store.hpp"
 
 namespace gorsemount::store {
 
-class Keeper {
+class StoreWriter {
  public:
-  using Read = std::function<recovery::Clocks()>;  // the clocks; called from background threads
+  using Read = std::function<recovery::ClockReading()>;  // the clocks; called from background threads
   using Say = std::function<void(const std::string& event, const std::string& what)>;
   // `background` outlives it.
-  Keeper(background::Background& background, std::unique_ptr<Disk> disk, StoreSettings settings,
-         std::vector<recovery::Entry> first, Read clocks, Say say);
-  ~Keeper();  // what was handed over is written
-  Keeper(const Keeper&) = delete;
-  Keeper& operator=(const Keeper&) = delete;
+  StoreWriter(background::Executor& background, std::unique_ptr<Disk> disk, StoreSettings settings,
+              std::vector<recovery::Entry> first, Read clocks, Say say);
+  ~StoreWriter();  // what was handed over is written
+  StoreWriter(const StoreWriter&) = delete;
+  StoreWriter& operator=(const StoreWriter&) = delete;
 
-  void keep(recovery::Facts facts);
+  void submit(recovery::Facts facts);
   struct Counters {
     std::uint64_t bytes = 0, syncs = 0, snapshots = 0,
                   checked = 0;  // checked: whole looks at the older generation
@@ -34,12 +34,12 @@
   [[nodiscard]] Counters counters() const;
 
  private:
-  background::Piece write();
-  background::Piece snapshot();
-  background::Piece check();
+  background::StepResult write();
+  background::StepResult snapshot();
+  background::StepResult check();
   void stop(const std::string& why);
 
-  background::Background& background_;
+  background::Executor& background_;
   std::unique_ptr<Disk> disk_;
   StoreSettings s_;
   Read clocks_;
@@ -49,7 +49,7 @@
   Counters counters_;
   std::mutex store_lock_;  // of what follows: a write and a snapshot are never under way together
   std::optional<Store> store_;
-  recovery::Knowledge known_;
+  recovery::FactLog known_;
   std::uint64_t written_ = 0;
   std::unique_ptr<Verification> verification_;  // the check's alone
   background::TaskId write_, snapshot_, check_;
--- a/src/streams/message.hpp
+++ b/src/streams/message.hpp
@@ -65,7 +65,7 @@
 };
 struct OperationLevel {
   std::string_view operation;
-  FurtherTries tries = FurtherTries::none;
+  RetryPolicy tries = RetryPolicy::none;
   double level = 0;
   auto operator<=>(const OperationLevel&) const = default;
 };
--- a/src/streams/policy_host.cpp
+++ b/src/streams/policy_host.cpp
@@ -47,11 +47,11 @@
 }
 
 std::size_t PolicyHost::handle_list(const discovery::BackendList& list, bool remembered) {
-  Listed event;
-  event.scope = remembered ? ListScope::remembered : list.full ? ListScope::whole : ListScope::changes;
+  BackendListUpdate event;
+  event.scope = remembered ? ListScope::cached : list.full ? ListScope::full : ListScope::delta;
   std::size_t skipped = 0;
   std::set<BackendId> missing;
-  if (event.scope != ListScope::changes)
+  if (event.scope != ListScope::delta)
     for (const auto& [id, backend] : backends_) missing.insert(id);
   for (const auto& row : list.rows) {
     if (row.health == discovery::Health::gone) {
@@ -73,7 +73,7 @@
     backend.zone = *zone_id, backend.unlisted_since.reset();
     backend.availability =
         row.health == discovery::Health::ready ? Availability::ready : Availability::draining;
-    Listed::Entry entry{id, *zone_id, backend.availability, row.weight, {}};
+    BackendListUpdate::Entry entry{id, *zone_id, backend.availability, row.weight, {}};
     if (row.started_ms != 0) entry.started = unix_epoch_ + Span::micros(row.started_ms * 1000);
     event.entries.push_back(entry);
   }
@@ -170,8 +170,8 @@
   const auto events = std::exchange(pending_events_, {});
   const auto orders = policy_.handle(now, events);
   for (const auto& order : orders) {
-    if (std::holds_alternative<FollowList>(order)) effects.subscribe = true;
-    if (const auto* wake = std::get_if<WakeMe>(&order)) timers_.emplace(now + wake->after, wake->tag);
+    if (std::holds_alternative<SubscribeToList>(order)) effects.subscribe = true;
+    if (const auto* wake = std::get_if<SetTimer>(&order)) timers_.emplace(now + wake->after, wake->tag);
   }
   for (auto& sent : tables_.apply(orders))
     if (const auto stream = stream_by_proxy_.find(sent.proxy); stream != stream_by_proxy_.end())
@@ -210,12 +210,12 @@
   const auto append = [](std::string& text, const std::string& what) {
     text += (text.empty() ? "" : " ") + what;
   };
-  const auto share = [](const Memory::Rung& rung) {
+  const auto share = [](const PolicySnapshot::ShareState& rung) {
     return ":" + std::to_string(static_cast<int>(std::lround(100 * rung.share))) +
-           (rung.relapses > 0 ? "r" + std::to_string(rung.relapses) : "");
+           (rung.failed_trials > 0 ? "r" + std::to_string(rung.failed_trials) : "");
   };
   const auto name = [this](ZoneId zone) { return names_.zones.at(zone.value); };
-  const Memory memory = policy_.remember(now_);
+  const PolicySnapshot memory = policy_.snapshot(now_);
   for (const auto& [zone, rung] : memory.zones) append(stats.reduced, name(zone) + share(rung));
   for (const auto& [link, rung] : memory.links)
     append(stats.reduced, name(link.first) + ">" + name(link.second) + share(rung));
--- a/src/streams/policy_host.hpp
+++ b/src/streams/policy_host.hpp
@@ -48,7 +48,7 @@
 
   // Returns the number of rows skipped because their zone is unknown.
   std::size_t handle_list(const discovery::BackendList& list, bool remembered = false);
-  void handle_list_failure() { pending_events_.emplace_back(Listed{ListScope::failed, {}}); }
+  void handle_list_failure() { pending_events_.emplace_back(BackendListUpdate{ListScope::failed, {}}); }
   [[nodiscard]] JoinResult join(StreamId stream, const ProxyJoin& message);
   void leave(StreamId stream);
   [[nodiscard]] bool is_joined(std::uint16_t proxy) const {
--- a/src/streams/proxy_tables.cpp
+++ b/src/streams/proxy_tables.cpp
@@ -9,7 +9,7 @@
   std::map<TableId, Table> changed;
   std::set<ProxyId> newly_bound;
   for (const auto& order : orders) {
-    if (const auto* line = std::get_if<SetLine>(&order)) {
+    if (const auto* line = std::get_if<SetWeight>(&order)) {
       auto& weights = tables_[line->table].weights;
       if (line->weight > 0) {
         weights[line->backend] = line->weight;
@@ -17,8 +17,8 @@
         weights.erase(line->backend);
       }
       changed[line->table].weights[line->backend] = line->weight;
-    } else if (const auto* level = std::get_if<SetLevel>(&order)) {
-      const Level new_level{level->tries, level->level};
+    } else if (const auto* level = std::get_if<SetAdmission>(&order)) {
+      const Level new_level{level->retries, level->limit};
       tables_[level->table].levels[level->operation] = new_level;
       changed[level->table].levels[level->operation] = new_level;
     } else if (const auto* bind = std::get_if<BindProxy>(&order)) {
--- a/src/streams/proxy_tables.hpp
+++ b/src/streams/proxy_tables.hpp
@@ -31,7 +31,7 @@
   [[nodiscard]] bool contains(BackendId backend) const;  // in any table
 
   struct Level {
-    FurtherTries tries = FurtherTries::none;
+    RetryPolicy tries = RetryPolicy::none;
     double level = 0;
   };
   struct Table {
--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -29,7 +29,7 @@
 
 TEST(Adapter, NumberedListsResolveInEventOrderWithinABatch) {
   Host host;
-  const auto reply = Json::parse(host.reply_to(
+  const auto reply = Json::parse(host.process_batch(
       batch(start(0) + "," + start(1) + "," + rows(11) + "," + list(0) + "," + rows(12) + "," + list(1))));
   std::map<int, int> lines;
   for (const auto& order : reply["output"])
@@ -39,9 +39,9 @@
 
 TEST(Adapter, CrashAndStartInOneBatchLeaveAFreshInstance) {
   Host host;
-  (void)host.reply_to(batch(start(0) + "," + rows(11) + "," + list(0)));
+  (void)host.process_batch(batch(start(0) + "," + rows(11) + "," + list(0)));
   const auto reply = Json::parse(
-      host.reply_to(batch(R"({"t":"crash-now","i":0},)" + start(0) + "," + rows(12) + "," + list(0))));
+      host.process_batch(batch(R"({"t":"crash-now","i":0},)" + start(0) + "," + rows(12) + "," + list(0))));
   for (const auto& order : reply["output"])
     if (order["t"] == "set-weight") {
       EXPECT_EQ(order["backend"], 12);
@@ -50,18 +50,18 @@
 
 TEST(Adapter, UnknownKindsKeysAndFieldsAreSkipped) {
   Host host;
-  (void)host.reply_to(batch(start(0) + "," + rows(11) + "," + list(0)));
-  EXPECT_EQ(host.reply_to(batch(R"({"t":"never-heard-of","i":0,"x":1})")), R"({"output":[]})");
-  EXPECT_NO_THROW((void)host.reply_to(batch(
+  (void)host.process_batch(batch(start(0) + "," + rows(11) + "," + list(0)));
+  EXPECT_EQ(host.process_batch(batch(R"({"t":"never-heard-of","i":0,"x":1})")), R"({"output":[]})");
+  EXPECT_NO_THROW((void)host.process_batch(batch(
       R"({"t":"digest","i":0,"site":0,"backend":11,"many":1,"lost":0,"cost-time-s":0.1,"elapsed-s":1,"new":1,"load":{"odd":3,"cpu":null}})")));
 }
 
 TEST(Adapter, BadInputSaysWhatAndWhere) {
   const auto message = [](const std::string& line) -> std::string {
     Host host;
-    (void)host.reply_to(batch(start(0) + "," + rows(11) + "," + list(0)));
+    (void)host.process_batch(batch(start(0) + "," + rows(11) + "," + list(0)));
     try {
-      (void)host.reply_to(line);
+      (void)host.process_batch(line);
     } catch (const std::exception& failure) {
       return failure.what();
     }
--- a/tests/background/background_test.cpp
+++ b/tests/background/executor_test.cpp
@@ -1,6 +1,6 @@
 // Background work: what is promised goes first and is never held up by what is not, budgets hold, nobody
 // starves.
-#include "background/background.hpp"
+#include "background/executor.hpp"
 
 #include <gtest/gtest.h>
 
@@ -51,7 +51,7 @@
   EXPECT_FALSE(s.next(at(0.1), Lane::common));
   EXPECT_EQ(s.wake_at(at(0.1), Lane::common), at(0.5));
   EXPECT_EQ(s.next(at(2), Lane::common), write);
-  s.ask_for(snapshot, at(2));
+  s.request_run(snapshot, at(2));
   EXPECT_EQ(s.next(at(2), Lane::prompt), write);
   ran(write, 2, 0.01, 100, true);
   EXPECT_FALSE(s.next(at(2), Lane::prompt)) << "nothing else is promised";
@@ -63,15 +63,15 @@
   EXPECT_EQ(s.next(at(7.1), Lane::common), write);
   ran(write, 7.1, 0, 0, true);
   EXPECT_EQ(s.next(at(7.1), Lane::common), check) << "it goes on";
-  EXPECT_EQ(s.counters(check).longest, span(0.1));
+  EXPECT_EQ(s.counters(check).longest_step, span(0.1));
 }
 
 TEST(Scheduler, KeepsEachTaskWithinItsShareOfTime) {
   Played p;
   const auto heavy = p.s.add({"heavy", 2, {}, 0, 0.25}, at(0));
-  p.s.ask_for(heavy, at(0));
+  p.s.request_run(heavy, at(0));
   p.run(100, [](TaskId) { return std::tuple{0.05, std::uint64_t{1}, false}; });
-  EXPECT_NEAR(p.s.counters(heavy).all.seconds(), 25, 0.2);
+  EXPECT_NEAR(p.s.counters(heavy).run_time.seconds(), 25, 0.2);
 }
 
 // A task of low rank beside two that could fill the lane: it waits, but not for ever, and what is promised
@@ -80,7 +80,7 @@
   Played p;
   const auto promise = p.s.add({"promise", 0, span(0.5), 0, 1}, at(0));
   const auto busy = p.s.add({"busy", 1, {}, 0, 1}, at(0)), low = p.s.add({"low", 4, {}, 0, 1}, at(0));
-  p.s.ask_for(busy, at(0)), p.s.ask_for(low, at(0));
+  p.s.request_run(busy, at(0)), p.s.request_run(low, at(0));
   double first_low = -1;
   p.run(120, [&](TaskId task) {
     if (task == low && first_low < 0) first_low = p.now;
@@ -88,42 +88,42 @@
   });
   EXPECT_GT(first_low, 29);
   EXPECT_LT(first_low, 32) << "three ranks up, ten seconds each";
-  EXPECT_GT(p.s.counters(low).pieces, 2U);
-  EXPECT_LT(p.s.counters(promise).latest, span(0.11)) << "a piece of another at most";
+  EXPECT_GT(p.s.counters(low).steps, 2U);
+  EXPECT_LT(p.s.counters(promise).max_delay, span(0.11)) << "a piece of another at most";
 }
 
 TEST(Scheduler, WhatIsAskedForWhileItRunsRunsAgain) {
   Scheduler s;
   const auto task = s.add({"asked", 1, {}, 0, 1}, at(0));
   EXPECT_FALSE(s.next(at(1), Lane::common));
-  s.ask_for(task, at(1)), s.ask_for(task, at(1));
+  s.request_run(task, at(1)), s.request_run(task, at(1));
   s.began(task, at(1));
   EXPECT_FALSE(s.next(at(1), Lane::common)) << "never twice at a time";
-  s.ask_for(task, at(1.5));
+  s.request_run(task, at(1.5));
   s.ran(task, at(2), span(1), 0, true);
   EXPECT_EQ(s.next(at(2), Lane::common), task);
   s.began(task, at(2)), s.ran(task, at(2), {}, 0, true);
   EXPECT_FALSE(s.next(at(3), Lane::common)) << "once for each time it was asked";
-  s.ask_for(task, at(3)), s.remove(task);
+  s.request_run(task, at(3)), s.remove(task);
   EXPECT_FALSE(s.next(at(4), Lane::common));
 }
 
 TEST(Background, AHungPieceHoldsUpNoPromise) {
-  Background b{net::monotonic_now};
+  Executor b{net::monotonic_now};
   std::promise<void> free;
   std::shared_future<void> freed{free.get_future()};
   std::atomic<bool> hangs{false};
   const auto stuck = b.add({"stuck", 3, {}, 0, 1}, [&] {
     hangs = true;
     freed.wait();
-    return Piece{};
+    return StepResult{};
   });
   std::atomic<int> kept{0};
   const auto promise = b.add({"promise", 0, span(0.002), 0, 1}, [&] {
     ++kept;
-    return Piece{};
+    return StepResult{};
   });
-  b.ask_for(stuck);
+  b.request_run(stuck);
   while (!hangs) std::this_thread::yield();
   const int before = kept;
   while (kept < before + 50) std::this_thread::yield();  // for ever, were the lanes one
@@ -135,16 +135,16 @@
 }
 
 TEST(Background, NeverRunsATaskTwiceAtATime) {
-  Background b{net::monotonic_now};
+  Executor b{net::monotonic_now};
   std::atomic<int> inside{0}, most{0}, runs{0};
   const auto task = b.add({"often", 0, {}, 0, 1}, [&] {
     most = std::max(most.load(), ++inside);
     std::this_thread::sleep_for(std::chrono::microseconds(200));
     --inside, ++runs;
-    return Piece{1, runs % 3 == 0};
+    return StepResult{1, runs % 3 == 0};
   });
   while (runs < 100) {
-    b.ask_for(task);
+    b.request_run(task);
     std::this_thread::yield();
   }
   b.remove(task);
--- a/tests/cluster/cluster_test.cpp
+++ b/tests/cluster/cluster_test.cpp
@@ -6,7 +6,7 @@
 #include <deque>
 #include <memory>
 
-#include "cluster/frames.hpp"
+#include "cluster/frame_codec.hpp"
 #include "cluster/leases.hpp"
 #include "cluster/membership.hpp"
 
@@ -48,7 +48,7 @@
       if (j != k) others.push_back(id(j));
     nodes[k].members = std::make_unique<Membership>(id(k), others, MembershipSettings{}, chance(), local(k));
     LeaseSettings s;
-    s.members = nodes.size(), s.drift = unsafe ? -0.6 : believed_;
+    s.members = nodes.size(), s.max_clock_drift = unsafe ? -0.6 : believed_;
     nodes[k].leases = std::make_unique<Leases>(id(k), others, shards_, s, local(k),
                                                Term{static_cast<std::uint64_t>(1000 * now)});
     nodes[k].up = true, nodes[k].paused = false, nodes[k].waiting.clear();
@@ -69,7 +69,7 @@
     const Instant t = local(k);
     for (auto& m : n.members->tick(t)) deliver(m);
     for (auto& m : n.leases->tick(t, n.members->alive())) {
-      m.rumours = n.members->rumours();
+      m.updates = n.members->updates();
       deliver(m);
     }
   }
@@ -86,7 +86,7 @@
       for (std::size_t k = 0; k < nodes.size(); ++k) {
         // One that stands still does nothing, but it may believe that it leads: that counts too.
         if (!nodes[k].up) continue;
-        const auto term = nodes[k].leases->leads(s, local(k));
+        const auto term = nodes[k].leases->held_term(s, local(k));
         if (!term) continue;
         ++leaders;
         auto& last = last_[shard];
@@ -132,8 +132,9 @@
     std::size_t n = 0;
     for (std::size_t shard = 0; shard < shards_; ++shard)
       for (std::size_t k = 0; k < nodes.size(); ++k)
-        n += nodes[k].up && nodes[k].leases->leads(ShardId{static_cast<std::uint16_t>(shard)}, local(k)) ? 1
-                                                                                                         : 0;
+        n += nodes[k].up && nodes[k].leases->held_term(ShardId{static_cast<std::uint16_t>(shard)}, local(k))
+                 ? 1
+                 : 0;
     return n;
   }
   void part(std::size_t k, bool both = true) {
@@ -175,7 +176,7 @@
       w.run(0.1);
       bool all = true;
       for (std::size_t k = 0; k < n; ++k)
-        all = all && (k == 1 || w.nodes[k].members->standing(id(1)) == Standing::gone);
+        all = all && (k == 1 || w.nodes[k].members->state_of(id(1)) == MemberState::gone);
       if (all) all_gone = t;
     }
     EXPECT_GT(all_gone, 0);
@@ -184,12 +185,12 @@
     for (std::size_t k = 0; k < n; ++k)
       for (std::size_t j = 0; j < n; ++j)
         if (k != 1 && j != 1) {
-          EXPECT_EQ(w.nodes[k].members->standing(id(j)), Standing::alive);
+          EXPECT_EQ(w.nodes[k].members->state_of(id(j)), MemberState::alive);
         }
     w.start(1);
     w.run(0.2 * 4 * static_cast<double>(n) + 4);
     for (std::size_t k = 0; k < n; ++k)
-      EXPECT_EQ(w.nodes[k].members->standing(id(1)), Standing::alive) << n << " " << k;
+      EXPECT_EQ(w.nodes[k].members->state_of(id(1)), MemberState::alive) << n << " " << k;
   }
 }
 
@@ -206,7 +207,8 @@
   w.run(2);
   w.part(2, false);
   w.run(15);
-  for (const std::size_t k : {0U, 1U, 3U, 4U}) EXPECT_EQ(w.nodes[k].members->standing(id(2)), Standing::gone);
+  for (const std::size_t k : {0U, 1U, 3U, 4U})
+    EXPECT_EQ(w.nodes[k].members->state_of(id(2)), MemberState::gone);
   w.cut.clear();
   w.run(15);
   for (std::size_t k = 0; k < 5; ++k) EXPECT_EQ(w.nodes[k].members->alive().size(), 5U);
@@ -253,13 +255,13 @@
   w.run(6);
   std::set<ShardId> its;
   for (std::uint16_t s = 0; s < 12; ++s)
-    if (w.nodes[2].leases->leads(ShardId{s}, w.local(2))) its.insert(ShardId{s});
+    if (w.nodes[2].leases->held_term(ShardId{s}, w.local(2))) its.insert(ShardId{s});
   ASSERT_FALSE(its.empty());
   w.nodes[2].paused = true;
   w.run(30);
   EXPECT_EQ(w.led(), 12U);
   for (const auto s : its)
-    EXPECT_FALSE(w.nodes[2].leases->leads(s, w.local(2))) << "asked before anything is ordered";
+    EXPECT_FALSE(w.nodes[2].leases->held_term(s, w.local(2))) << "asked before anything is ordered";
   w.nodes[2].paused = false;
   w.run(10);
   EXPECT_EQ(w.led(), 12U);
@@ -272,7 +274,7 @@
     for (const std::size_t j : {2U, 3U, 4U}) w.cut.insert({k, j}), w.cut.insert({j, k});
   w.run(15);
   for (std::uint16_t s = 0; s < 12; ++s)
-    for (const std::size_t k : {0U, 1U}) EXPECT_FALSE(w.nodes[k].leases->leads(ShardId{s}, w.local(k)));
+    for (const std::size_t k : {0U, 1U}) EXPECT_FALSE(w.nodes[k].leases->held_term(ShardId{s}, w.local(k)));
   EXPECT_EQ(w.led(), 12U);
 }
 
@@ -295,7 +297,7 @@
   w.run(6);
   const ShardId shard{0};
   for (std::size_t k = 0; k < 3; ++k) {
-    if (!w.nodes[k].leases->leads(shard, w.local(k))) continue;
+    if (!w.nodes[k].leases->held_term(shard, w.local(k))) continue;
     w.nodes[k].leases->hand_over(w.local(k), shard, std::nullopt);
     w.nodes[k].members.reset();
     w.start(k);  // as a rolling restart does
@@ -383,23 +385,23 @@
   return k;
 }
 
-std::string dropped(Frames& frames, std::string_view frame) {
+std::string dropped(FrameCodec& frames, std::string_view frame) {
   const auto opened = frames.open(frame);
   return std::holds_alternative<Drop>(opened) ? name_of(std::get<Drop>(opened)) : "";
 }
 
 TEST(Frames, CarryEveryMessageAndDropEverythingElse) {
-  Frames a{id(1), 1000, {key(1)}}, b{id(2), 1000, {key(1)}};
-  const std::vector<Rumour> news{{id(7), Standing::suspected, 9}};
+  FrameCodec a{id(1), 1000, {key(1)}}, b{id(2), 1000, {key(1)}};
+  const std::vector<MemberUpdate> news{{id(7), MemberState::suspected, 9}};
   for (const Body& body :
        std::vector<Body>{Ping{3}, Ack{4}, PingFor{id(3), 5}, AskVote{ShardId{1}, Term{9}, 2},
                          Vote{ShardId{1}, Term{9}, 2, true}, GiveUp{ShardId{2}, Term{8}}}) {
     const auto frame = a.seal({id(1), id(2), body, news});
-    EXPECT_EQ(Frames::length(frame), frame.size());
+    EXPECT_EQ(FrameCodec::length(frame), frame.size());
     const auto opened = b.open(frame);
     ASSERT_TRUE(std::holds_alternative<Message>(opened)) << name_of(std::get<Drop>(opened));
     EXPECT_EQ(std::get<Message>(opened).body.index(), body.index());
-    EXPECT_EQ(std::get<Message>(opened).rumours, news);
+    EXPECT_EQ(std::get<Message>(opened).updates, news);
     EXPECT_EQ(dropped(b, frame), "replayed");
     for (std::size_t cut = 0; cut < frame.size(); ++cut)
       EXPECT_EQ(dropped(b, frame.substr(0, cut)), "cut off");
@@ -411,16 +413,16 @@
   }
   EXPECT_EQ(dropped(a, a.seal({id(1), id(2), Ping{1}, {}})), "not for us");
   EXPECT_EQ(dropped(b, std::string(5000, '\x7f')), "too large");
-  Frames stranger{id(1), 1000, {key(9)}};
+  FrameCodec stranger{id(1), 1000, {key(9)}};
   EXPECT_EQ(dropped(b, stranger.seal({id(1), id(2), Ping{1}, {}})), "unknown key");
   Key forged = key(9);
   forged.number = 1;
-  Frames forger{id(1), 1000, {forged}};
+  FrameCodec forger{id(1), 1000, {forged}};
   EXPECT_EQ(dropped(b, forger.seal({id(1), id(2), Ping{1}, {}})), "wrong MAC");
 }
 
 TEST(Frames, OrderMayBeLostButNoFrameIsTakenTwiceNorOfALifeThatIsOver) {
-  Frames a{id(1), 1000, {key(1)}}, b{id(2), 1000, {key(1)}};
+  FrameCodec a{id(1), 1000, {key(1)}}, b{id(2), 1000, {key(1)}};
   std::vector<std::string> sent;
   for (std::uint64_t k = 0; k < 100; ++k) sent.push_back(a.seal({id(1), id(2), Ping{k}, {}}));
   EXPECT_EQ(dropped(b, sent[70]), "");
@@ -429,13 +431,13 @@
   EXPECT_EQ(dropped(b, sent[5]), "replayed") << "older than the window";
   EXPECT_EQ(dropped(b, sent[99]), "");
   EXPECT_EQ(dropped(b, sent[71]), "");
-  Frames again{id(1), 2000, {key(1)}};
+  FrameCodec again{id(1), 2000, {key(1)}};
   EXPECT_EQ(dropped(b, again.seal({id(1), id(2), Ping{1}, {}})), "");
   EXPECT_EQ(dropped(b, sent[98]), "replayed") << "of the life before";
 }
 
 TEST(Frames, KeysRotateWithoutAStopAndHalfWayThrough) {
-  Frames a{id(1), 1, {key(1)}}, b{id(2), 1, {key(1)}};
+  FrameCodec a{id(1), 1, {key(1)}}, b{id(2), 1, {key(1)}};
   b.set_keys({key(1), key(2)});  // b knows the new one and seals with it; a does not know it yet
   EXPECT_EQ(dropped(a, b.seal({id(2), id(1), Ping{1}, {}})), "unknown key");
   a.set_keys({key(2), key(1)});  // first accept everywhere, then use
@@ -447,7 +449,7 @@
 
 TEST(Keys, AreReadOrRefusedWithTheLineAndNeverTheKey) {
   const std::string good(64, 'a');
-  EXPECT_EQ(read_keys("# ring\n1 " + good + "\n\n2 " + good + " # new\n").size(), 2U);
+  EXPECT_EQ(parse_keys("# ring\n1 " + good + "\n\n2 " + good + " # new\n").size(), 2U);
   for (const auto& [text, expected] : std::vector<std::pair<std::string, std::string>>{
            {"", "holds no key"},
            {"1 abc\n", "line 1: expected 64 hex digits"},
@@ -457,7 +459,7 @@
            {"1 " + good + " more", "line 1"},
            {"1 " + std::string(64, 'g'), "64 hex digits"}}) {
     try {
-      static_cast<void>(read_keys(text));
+      static_cast<void>(parse_keys(text));
       ADD_FAILURE() << text;
     } catch (const std::runtime_error& fault) {
       const std::string said = fault.what();
--- a/tests/cluster/replication_test.cpp
+++ b/tests/cluster/replication_test.cpp
@@ -7,13 +7,13 @@
 #include <memory>
 #include <random>
 
-#include "cluster/frames.hpp"
+#include "cluster/frame_codec.hpp"
 
 namespace gorsemount::cluster {
 namespace {
 
+using recovery::FactKind;
 using recovery::Facts;
-using recovery::Kind;
 
 MemberId id(std::size_t k) { return MemberId{static_cast<std::uint16_t>(k)}; }
 
@@ -39,7 +39,7 @@
         if (!nodes[k]) continue;
         nodes[k]->observe(local(k), facts[k]);
         for (auto& m : nodes[k]->tick(local(k))) {
-          Frames frames{m.from, 1, {Key{1, {}}}};
+          FrameCodec frames{m.from, 1, {Key{1, {}}}};
           const auto frame = frames.seal(m);
           EXPECT_LE(frame.size(), kFrameMost);
           bytes += frame.size();
@@ -52,7 +52,7 @@
     const auto& copy = nodes[reader]->copies().at(id(origin));
     std::size_t live = 0;
     for (const auto& [subject, e] : copy.known.entries()) {
-      if (e.gone) continue;
+      if (e.deleted) continue;
       ++live;
       const auto it = facts[origin].find(subject);
       if (it == facts[origin].end() || it->second.figures != e.fact.figures) return false;
@@ -74,15 +74,15 @@
   net.loss = 0.2;
   net.nodes[3].reset();
   for (int k = 0; k < 300; ++k)
-    net.facts[0][{Kind::backend_ladder, "w" + std::to_string(k)}].figures["share"] = 0.5;
+    net.facts[0][{FactKind::backend_ladder, "w" + std::to_string(k)}].figures["share"] = 0.5;
   net.run(8);
   EXPECT_TRUE(net.same(1, 0));
   EXPECT_TRUE(net.same(2, 0));
   for (int round = 0; round < 50; ++round) {
     for (int k = 0; k < 5; ++k)
-      net.facts[0][{Kind::backend_ladder, "w" + std::to_string(net.chance() % 400)}].figures["share"] =
+      net.facts[0][{FactKind::backend_ladder, "w" + std::to_string(net.chance() % 400)}].figures["share"] =
           round / 100.0;
-    net.facts[0].erase({Kind::backend_ladder, "w" + std::to_string(net.chance() % 400)});
+    net.facts[0].erase({FactKind::backend_ladder, "w" + std::to_string(net.chance() % 400)});
     net.run(0.1);
   }
   net.start(3, 1);
@@ -92,11 +92,11 @@
 
 TEST(Replication, ALaterLifeOfAMemberReplacesTheOneBefore) {
   Net net{3};
-  net.facts[0][{Kind::hold, "a"}].figures["on"] = 1;
+  net.facts[0][{FactKind::hold, "a"}].figures["on"] = 1;
   net.run(2);
   ASSERT_TRUE(net.same(1, 0));
   net.facts[0].clear();
-  net.facts[0][{Kind::usual_rate, "g"}].figures["rate"] = 3;
+  net.facts[0][{FactKind::usual_rate, "g"}].figures["rate"] = 3;
   net.start(0, 2);
   net.run(3);
   EXPECT_TRUE(net.same(1, 0));
@@ -105,13 +105,13 @@
 
 TEST(Replication, WhatLayInAQueueForLongIsNotTaken) {
   Net net{2};
-  net.facts[0][{Kind::zone_ladder, "a"}].figures["share"] = 0.3;
+  net.facts[0][{FactKind::zone_ladder, "a"}].figures["share"] = 0.3;
   net.run(2);
   ASSERT_TRUE(net.same(1, 0));
   // Member 1 stands still for 30 s; what came meanwhile waits and reaches it all at once.
   auto still = std::move(net.nodes[1]);
   std::multimap<double, Message> queued;
-  net.facts[0][{Kind::zone_ladder, "a"}].figures["share"] = 0.1;
+  net.facts[0][{FactKind::zone_ladder, "a"}].figures["share"] = 0.1;
   for (int k = 0; k < 300; ++k) {
     net.run(0.1);
     for (const auto& [when, m] : net.underway)
@@ -123,7 +123,7 @@
   for (const auto& [when, m] : queued) net.nodes[1]->receive(net.local(1), m);
   EXPECT_GT(net.nodes[1]->counters().late, late);
   const auto& copy = net.nodes[1]->copies().at(id(0));
-  EXPECT_EQ(copy.known.entries().at({Kind::zone_ladder, "a"}).fact.figures.at("share"), 0.3)
+  EXPECT_EQ(copy.known.entries().at({FactKind::zone_ladder, "a"}).fact.figures.at("share"), 0.3)
       << "the old one's word, and it is known to be old";
   EXPECT_GT((net.local(1) - *copy.confirmed).seconds(), 25);
   net.run(2);
@@ -133,10 +133,10 @@
 TEST(Replication, ClocksAreNeverComparedAndAFactIsAgedOnReceipt) {
   Net net{2};
   net.offset = {5000, 10};
-  net.facts[0][{Kind::cold_start, "w"}].times["started"] = Instant::at_seconds(4990);
+  net.facts[0][{FactKind::cold_start, "w"}].times["started"] = Instant::at_seconds(4990);
   net.run(1.5);
   const auto& copy = net.nodes[1]->copies().at(id(0));
-  const auto started = copy.known.entries().at({Kind::cold_start, "w"}).fact.times.at("started");
+  const auto started = copy.known.entries().at({FactKind::cold_start, "w"}).fact.times.at("started");
   EXPECT_NEAR((started - Instant{}).seconds(), 0, 0.1) << "ten seconds before the reader's own beginning";
   EXPECT_LE(*copy.confirmed, net.local(1));
 }
@@ -144,20 +144,20 @@
 TEST(Replication, AFactThatFitsIntoNoMessageStopsNothing) {
   Net net{2};
   for (int k = 0; k < 500; ++k)
-    net.facts[0][{Kind::table_lines, "0/1"}].figures["worker-" + std::to_string(k)] = k;
-  net.facts[0][{Kind::zone_ladder, "a"}].figures["share"] = 0.3;
+    net.facts[0][{FactKind::table_lines, "0/1"}].figures["worker-" + std::to_string(k)] = k;
+  net.facts[0][{FactKind::zone_ladder, "a"}].figures["share"] = 0.3;
   net.run(2);
-  EXPECT_TRUE(net.nodes[1]->copies().at(id(0)).known.entries().contains({Kind::zone_ladder, "a"}));
+  EXPECT_TRUE(net.nodes[1]->copies().at(id(0)).known.entries().contains({FactKind::zone_ladder, "a"}));
   EXPECT_GT(net.nodes[0]->counters().too_large, 0U);
 }
 
 TEST(Replication, AGroupFollowsItsLeaderAndNobodyWhenNoneIsHeard) {
   Net net{3};
-  net.facts[1][{Kind::group_table, "g"}].figures["table"] = 2;
-  net.facts[1][{Kind::table_lines, "2/0"}].figures = {{"w1", 0.5}};
-  net.facts[1][{Kind::table_lines, "2/7"}].figures = {{"w7", 1}};
-  net.facts[1][{Kind::table_lines, "21/7"}].figures = {{"w9", 1}};
-  net.facts[1][{Kind::table_levels, "2"}].figures = {{"level read", 0.7}, {"tries read", 2}};
+  net.facts[1][{FactKind::group_table, "g"}].figures["table"] = 2;
+  net.facts[1][{FactKind::table_lines, "2/0"}].figures = {{"w1", 0.5}};
+  net.facts[1][{FactKind::table_lines, "2/7"}].figures = {{"w7", 1}};
+  net.facts[1][{FactKind::table_lines, "21/7"}].figures = {{"w9", 1}};
+  net.facts[1][{FactKind::table_levels, "2"}].figures = {{"level read", 0.7}, {"tries read", 2}};
   net.run(2);
   const auto table = table_of(net.nodes[0]->copies(), "g", net.local(0));
   ASSERT_TRUE(table);
--- a/tests/coordinator/fixture.hpp
+++ b/tests/coordinator/fixture.hpp
@@ -7,7 +7,7 @@
 
 namespace gorsemount::coordinator {
 
-inline Settings some_settings() {
+inline Settings test_settings() {
   Settings s;
   s.zones = {"a", "b", "c"};
   s.operations = {{"read", Effect::idempotent, Span::seconds(1), Span::seconds(3), 1},
@@ -27,7 +27,7 @@
   return s;
 }
 
-inline std::vector<RosterEntry> some_roster(unsigned n) {
+inline std::vector<RosterEntry> test_roster(unsigned n) {
   std::vector<RosterEntry> roster;
   for (unsigned k = 0; k < n; ++k) {
     RosterEntry e;
@@ -41,7 +41,7 @@
 
 class Rig {
  public:
-  struct Made {
+  struct SimulatedWorker {
     std::string boot = "first";
     Instant started = Instant::at_seconds(-1e6);
     bool draining = false, down = false, refuses = false, hangs = false;
@@ -50,23 +50,23 @@
     double carry = 0, owed = 0;
   };
 
-  explicit Rig(unsigned n, Settings settings = some_settings(), Decide decide = {})
+  explicit Rig(unsigned n, Settings settings = test_settings(), DecisionMaker decide = {})
       : s{settings},
-        roster{some_roster(n)},
-        made(n),
-        core{settings, decide ? std::move(decide) : module_of(settings)} {
-    step({RosterHeard{roster}});
+        roster{test_roster(n)},
+        workers(n),
+        core{settings, decide ? std::move(decide) : policy_decision_maker(settings)} {
+    step({RosterUpdate{roster}});
     seconds(1);
-    step({LookedUp{ProxyId{0}}, LookedUp{ProxyId{1}}});
+    step({GroupLookup{ProxyId{0}}, GroupLookup{ProxyId{1}}});
   }
 
   Effects step(std::vector<Input> inputs) {
     Effects e = core.step(now, inputs);
     if (e.published) published = e.published;
     deliveries.insert(deliveries.end(), e.deliveries.begin(), e.deliveries.end());
-    notes.insert(notes.end(), e.notes.begin(), e.notes.end());
+    log_events.insert(log_events.end(), e.log_events.begin(), e.log_events.end());
     for (const auto& m : e.messages) EXPECT_LE(m.waiting, s.backlog) << "rule 5";
-    wake = e.wake_at;
+    wake = e.next_wakeup;
     return e;
   }
 
@@ -76,37 +76,39 @@
       now = now + Span::seconds(0.1);
       ++tick;
       std::vector<Input> inputs;
-      for (unsigned k = 0; k < made.size(); ++k) {
-        Made& m = made[k];
-        const auto id = core.id_of(roster[k].name);
+      for (unsigned k = 0; k < workers.size(); ++k) {
+        SimulatedWorker& m = workers[k];
+        const auto id = core.backend_id(roster[k].name);
         if (!id) continue;
         const double part = published ? weight(0, k) / std::max(1e-9, total(0)) : 0;
         if (!m.down) work(m, part * rate * 0.1, k);
-        const Health health = m.refuses ? Health::refused : m.down || m.hangs ? Health::failed : Health::well;
-        if (m.down || tick % 3 == 0) inputs.emplace_back(HealthHeard{*id, health, Span::seconds(0.01)});
+        const Health health = m.refuses           ? Health::refused
+                              : m.down || m.hangs ? Health::failed
+                                                  : Health::passed;
+        if (m.down || tick % 3 == 0) inputs.emplace_back(HealthCheckResult{*id, health, Span::seconds(0.01)});
         if (tick % 5 != 0) continue;
         if (m.down) {
-          inputs.emplace_back(LoadMissing{*id, "no connection"});
+          inputs.emplace_back(LoadPollFailed{*id, "no connection"});
         } else {
-          inputs.emplace_back(LoadHeard{*id, now, sample(k)});
+          inputs.emplace_back(LoadReport{*id, now, sample(k)});
         }
       }
       if (tick % 10 == 0)
-        inputs.emplace_back(LookedUp{ProxyId{0}}), inputs.emplace_back(LookedUp{ProxyId{1}});
+        inputs.emplace_back(GroupLookup{ProxyId{0}}), inputs.emplace_back(GroupLookup{ProxyId{1}});
       step(std::move(inputs));
       while (wake <= now) step({});
     }
   }
   [[nodiscard]] LoadSample sample(unsigned k) const {
-    const Made& m = made[k];
+    const SimulatedWorker& m = workers[k];
     LoadSample sample{m.boot, (now - m.started).seconds(), m.draining, 0.3, 0.0, {}};
     sample.counts.push_back(
         {OperationId{0}, *Prefix::parse("127.1.0.0/24"), m.taken, m.succeeded, m.errored, 0, m.latency});
     return sample;
   }
   void restart(unsigned k, const std::string& boot) {
-    made[k] = Made{};
-    made[k].boot = boot, made[k].started = now;
+    workers[k] = SimulatedWorker{};
+    workers[k].boot = boot, workers[k].started = now;
   }
   [[nodiscard]] double weight(std::size_t group, unsigned k, std::size_t operation = 0) const {
     for (const auto& line : published->views[group][operation]->lines)
@@ -118,23 +120,24 @@
     for (const auto& line : published->views[group][0]->lines) sum += line.weight;
     return sum;
   }
-  [[nodiscard]] bool noted(const std::string& event) const {
-    return std::any_of(notes.begin(), notes.end(), [&](const Note& n) { return n.event == event; });
+  [[nodiscard]] bool logged(const std::string& event) const {
+    return std::any_of(log_events.begin(), log_events.end(),
+                       [&](const LogEvent& n) { return n.event == event; });
   }
 
   Settings s;
   std::vector<RosterEntry> roster;
-  std::vector<Made> made;
+  std::vector<SimulatedWorker> workers;
   Coordinator core;
   Instant now = Instant::at_seconds(1000), wake;
-  std::shared_ptr<const Published> published;
-  std::vector<Note> notes;
+  std::shared_ptr<const PublishedState> published;
+  std::vector<LogEvent> log_events;
   std::vector<Delivery> deliveries;
   double rate = 120;  // invocations a second in all
   unsigned tick = 0;
 
  private:
-  static void work(Made& m, double n, unsigned k) {
+  static void work(SimulatedWorker& m, double n, unsigned k) {
     m.carry += n + 1e-9 * k;
     while (m.carry >= 1) {
       m.carry -= 1, ++m.taken;
--- a/tests/coordinator/remember_test.cpp
+++ b/tests/coordinator/state_transfer_test.cpp
@@ -6,7 +6,7 @@
 
 using recovery::Entry;
 using recovery::Fact;
-using recovery::Kind;
+using recovery::FactKind;
 
 std::vector<Entry> entries_of(const recovery::Facts& facts, Instant learned) {
   std::vector<Entry> entries;
@@ -25,15 +25,15 @@
 TEST(Remember, ABackendThatWasOutStaysOutForTheNextWhoLeads) {
   Rig one{9};
   one.seconds(5);
-  one.made[2].error_part = 1;
+  one.workers[2].error_part = 1;
   one.seconds(4);
   ASSERT_EQ(one.weight(0, 2), 0);
   const auto facts = one.core.facts();
-  ASSERT_TRUE(facts.contains({Kind::backend_ladder, "w2"}));
+  ASSERT_TRUE(facts.contains({FactKind::backend_ladder, "w2"}));
   Rig blank{9}, two{9};
   blank.seconds(9), two.seconds(9);  // the same clock as the first one's
   EXPECT_EQ(blank.weight(0, 2), 1);
-  two.step({Recalled{moved(facts, one.now, two.now)}});
+  two.step({FactsReceived{moved(facts, one.now, two.now)}});
   two.seconds(1);
   EXPECT_LT(two.weight(0, 2), 0.6) << "out, or tried; never whole";
 }
@@ -44,10 +44,10 @@
   Fact ladder{"",
               {{"share", 0}, {"falling", 0}, {"relapses", 1}},
               {{"next", rig.now + Span::seconds(6)}, {"changed", rig.now}}};
-  rig.step({Recalled{{{{Kind::zone_ladder, "b"}, ladder, rig.now, 1, false}}}});
+  rig.step({FactsReceived{{{{FactKind::zone_ladder, "b"}, ladder, rig.now, 1, false}}}});
   rig.seconds(2);
   EXPECT_EQ(rig.weight(0, 1), 0);
-  EXPECT_TRUE(rig.core.zone_moves());
+  EXPECT_TRUE(rig.core.zone_shift_in_progress());
   rig.seconds(12);
   EXPECT_GT(rig.weight(0, 1), 0) << "its trial";
   EXPECT_LT(rig.weight(0, 1), 0.3);
@@ -58,7 +58,7 @@
     Rig rig{9};
     Fact f{place, {{"share", 0}}, {{"next", rig.now + Span::seconds(9)}, {"changed", rig.now}}};
     if (started != 0) f.times["started"] = Instant::at_seconds(started);
-    rig.step({Recalled{{{{Kind::backend_ladder, "w1"}, f, rig.now, 1, false}}}});
+    rig.step({FactsReceived{{{{FactKind::backend_ladder, "w1"}, f, rig.now, 1, false}}}});
     rig.seconds(2);
     return rig.weight(0, 1);
   };
@@ -71,88 +71,88 @@
 TEST(Remember, ADrainStandsTillTheWorkerItselfSaysOtherwise) {
   Rig rig{9};
   rig.seconds(3);
-  rig.made[4].draining = true;
+  rig.workers[4].draining = true;
   rig.seconds(1.5);
   ASSERT_EQ(rig.weight(0, 4), 0);
   const auto facts = rig.core.facts();
-  ASSERT_TRUE(facts.contains({Kind::drain, "w4"}));
+  ASSERT_TRUE(facts.contains({FactKind::drain, "w4"}));
   // The next life: the list says ready, and the worker is not heard yet.
-  Coordinator next{rig.s, module_of(rig.s)};
-  auto e = next.step(rig.now, {Recalled{entries_of(facts, rig.now)}, RosterHeard{rig.roster}});
-  e = next.step(rig.now + Span::seconds(1.3), {LookedUp{ProxyId{0}}});
+  Coordinator next{rig.s, policy_decision_maker(rig.s)};
+  auto e = next.step(rig.now, {FactsReceived{entries_of(facts, rig.now)}, RosterUpdate{rig.roster}});
+  e = next.step(rig.now + Span::seconds(1.3), {GroupLookup{ProxyId{0}}});
   ASSERT_TRUE(e.published);
-  const auto id = *next.id_of("w4");
-  EXPECT_FALSE(e.published->directory->at(id).open);
+  const auto id = *next.backend_id("w4");
+  EXPECT_FALSE(e.published->directory->at(id).accepts_new_work);
   // The worker says that it takes work.
-  rig.made[4].draining = false;
-  e = next.step(rig.now + Span::seconds(2), {LoadHeard{id, rig.now + Span::seconds(2), [&] {
-                                                         auto s = rig.sample(4);
-                                                         s.uptime += 2;
-                                                         return s;
-                                                       }()}});
+  rig.workers[4].draining = false;
+  e = next.step(rig.now + Span::seconds(2), {LoadReport{id, rig.now + Span::seconds(2), [&] {
+                                                          auto s = rig.sample(4);
+                                                          s.uptime += 2;
+                                                          return s;
+                                                        }()}});
   ASSERT_TRUE(e.published);
-  EXPECT_TRUE(e.published->directory->at(id).open);
+  EXPECT_TRUE(e.published->directory->at(id).accepts_new_work);
 }
 
 TEST(Remember, OfTwoControllersOrdersTheLaterHolds) {
   Rig one{9}, two{9};
   one.seconds(2), two.seconds(3);
-  one.step({PersonOrders{PersonOrders::What::disable, "w1", 0, {}}});
-  two.step({Recalled{moved(one.core.facts(), one.now, two.now)}});
+  one.step({OperatorCommand{OperatorCommand::Action::disable, "w1", 0, {}}});
+  two.step({FactsReceived{moved(one.core.facts(), one.now, two.now)}});
   two.seconds(1);
   EXPECT_EQ(two.weight(0, 1), 0);
-  two.step({PersonOrders{PersonOrders::What::enable, "w1", 0, {}}});
+  two.step({OperatorCommand{OperatorCommand::Action::enable, "w1", 0, {}}});
   const auto back = moved(two.core.facts(), two.now, one.now + Span::seconds(4));
   one.seconds(4);
   // The older word comes round again, and changes nothing.
-  two.step({Recalled{moved(one.core.facts(), one.now, two.now - Span::seconds(3))}});
+  two.step({FactsReceived{moved(one.core.facts(), one.now, two.now - Span::seconds(3))}});
   two.seconds(1);
   EXPECT_EQ(two.weight(0, 1), 1);
-  one.step({Recalled{back}});
+  one.step({FactsReceived{back}});
   one.seconds(1);
   EXPECT_EQ(one.weight(0, 1), 1);
 }
 
 Settings with_forwarder() {
-  Settings s = some_settings();
+  Settings s = test_settings();
   s.forwarders = {{"f0", ZoneId{0}, {*Prefix::parse("127.7.0.0/24")}, 5}};
   return s;
 }
-FurtherTries tries_of(const Delivery& d) { return d.table->parts[0].level.tries; }
+RetryPolicy tries_of(const Delivery& d) { return d.table->operations[0].level.tries; }
 
 TEST(Takeover, FurtherTriesShrinkAndComeBackOnceTheTableIsWhole) {
-  const ProxyId f{kFirstForwarder};
+  const ProxyId f{kFirstForwarderId};
   for (const bool half : {false, true}) {
     Rig rig{9, with_forwarder()};
     rig.seconds(2);
     std::vector<Entry> known{
-        {{Kind::sent_table, "f0"}, {"", {{"version", 7}}, {}}, rig.now, 1, false},
-        {{Kind::held_table, "f0"}, {"", {{"version", half ? 6.0 : 7.0}}, {}}, rig.now, 2, false}};
-    rig.step({Recalled{known}, ForwarderJoined{f, true}});
+        {{FactKind::sent_table, "f0"}, {"", {{"version", 7}}, {}}, rig.now, 1, false},
+        {{FactKind::held_table, "f0"}, {"", {{"version", half ? 6.0 : 7.0}}, {}}, rig.now, 2, false}};
+    rig.step({FactsReceived{known}, ForwarderJoined{f, true}});
     rig.seconds(1);
     ASSERT_FALSE(rig.deliveries.empty());
-    EXPECT_EQ(tries_of(rig.deliveries.back()), FurtherTries::none);
+    EXPECT_EQ(tries_of(rig.deliveries.back()), RetryPolicy::none);
     rig.seconds(3);
-    EXPECT_EQ(tries_of(rig.deliveries.back()), FurtherTries::none) << "it has not said that it holds it";
-    rig.step({ForwarderHolds{f, rig.deliveries.back().table->version}});
+    EXPECT_EQ(tries_of(rig.deliveries.back()), RetryPolicy::none) << "it has not said that it holds it";
+    rig.step({ForwarderAppliedTable{f, rig.deliveries.back().table->version}});
     rig.seconds(1);
-    EXPECT_EQ(tries_of(rig.deliveries.back()), half ? FurtherTries::none : FurtherTries::after_proof);
+    EXPECT_EQ(tries_of(rig.deliveries.back()), half ? RetryPolicy::none : RetryPolicy::if_unprocessed);
     rig.seconds(4);
-    EXPECT_EQ(tries_of(rig.deliveries.back()), FurtherTries::after_proof);
+    EXPECT_EQ(tries_of(rig.deliveries.back()), RetryPolicy::if_unprocessed);
   }
   Rig own{9, with_forwarder()};
   own.step({ForwarderJoined{f, false}});
   own.seconds(1);
-  EXPECT_EQ(tries_of(own.deliveries.back()), FurtherTries::after_proof) << "nobody led it before";
+  EXPECT_EQ(tries_of(own.deliveries.back()), RetryPolicy::if_unprocessed) << "nobody led it before";
 }
 
 // A restarted coordinator reaches its forwarders before it has heard a single worker.
 TEST(Forwarders, ThatJoinBeforeTheFirstListIsToldGetATable) {
   Rig plain{3};
-  Coordinator core{with_forwarder(), module_of(with_forwarder())};
+  Coordinator core{with_forwarder(), policy_decision_maker(with_forwarder())};
   Instant now = Instant::at_seconds(1000);
   std::size_t delivered =
-      core.step(now, {ForwarderJoined{ProxyId{kFirstForwarder}, false}, RosterHeard{plain.roster}})
+      core.step(now, {ForwarderJoined{ProxyId{kFirstForwarderId}, false}, RosterUpdate{plain.roster}})
           .deliveries.size();
   for (int k = 0; k < 40; ++k) delivered += core.step(now = now + Span::seconds(0.1), {}).deliveries.size();
   EXPECT_GT(delivered, 0U);
@@ -161,39 +161,39 @@
 TEST(Groups, LedElsewhereFollowTheLeaderLessWhatTheRulesForce) {
   Rig rig{9};
   rig.seconds(3);
-  rig.step({GroupLed{ProxyId{0}, false}});
+  rig.step({GroupLeadership{ProxyId{0}, false}});
   EXPECT_EQ(rig.weight(0, 3), 1) << "what it has stays";
-  rig.step({Followed{ProxyId{0}, true, {{"w3", 0.25}, {"w4", 1}, {"w5", 1}}, {{0, 1}, {1, 1}}}});
+  rig.step({LeaderTable{ProxyId{0}, true, {{"w3", 0.25}, {"w4", 1}, {"w5", 1}}, {{0, 1}, {1, 1}}}});
   EXPECT_EQ(rig.weight(0, 3), 0.25);
   EXPECT_EQ(rig.weight(0, 1), 0);
   EXPECT_EQ(rig.weight(1, 1), 1) << "the other group is led here";
-  rig.step({Followed{ProxyId{0}, false, {}, {}}});
-  rig.made[4].draining = true;
+  rig.step({LeaderTable{ProxyId{0}, false, {}, {}}});
+  rig.workers[4].draining = true;
   rig.seconds(1.5);
   EXPECT_EQ(rig.weight(0, 4), 0) << "rule 3, whoever leads";
   EXPECT_EQ(rig.weight(0, 3), 0.25) << "nothing is raised";
-  rig.step({GroupLed{ProxyId{0}, true}});
+  rig.step({GroupLeadership{ProxyId{0}, true}});
   rig.seconds(3);
   EXPECT_EQ(rig.weight(0, 1), 1);
 }
 
 // A part of the retry budget that was recalled and sent is corrected once reports say otherwise.
 TEST(Remember, ARecalledRetryBudgetIsCorrected) {
-  Settings s = some_settings();
+  Settings s = test_settings();
   s.retry_share = 0.2, s.forwarders = {{"f1", ZoneId{0}, {}, 10}};
   Rig rig{6, s};
-  const ProxyId f1{kFirstForwarder};
-  rig.step({Recalled{{{{recovery::Kind::further_tries, "f1"}, {"", {{"part", 0.6}}, {}}, rig.now, 1, false}},
-                     true}});
+  const ProxyId f1{kFirstForwarderId};
+  rig.step({FactsReceived{
+      {{{recovery::FactKind::further_tries, "f1"}, {"", {{"part", 0.6}}, {}}, rig.now, 1, false}}, true}});
   std::vector<double> sent;
   const auto heed = [&](const Effects& e) {
     for (const auto& d : e.deliveries)
-      if (sent.empty() || sent.back() != d.table->retries) sent.push_back(d.table->retries);
+      if (sent.empty() || sent.back() != d.table->retry_ratio) sent.push_back(d.table->retry_ratio);
   };
   heed(rig.step({ForwarderJoined{f1}}));
   for (int k = 0; k < 60; ++k) {
     rig.now = rig.now + Span::seconds(0.1);
-    heed(rig.step({ForwarderMet{
+    heed(rig.step({ForwarderReport{
         f1, {{BackendId{1}, OperationId{0}, 20, 0, Span::seconds(0.1)}}, {{OperationId{0}, 20}}, 0}}));
   }
   ASSERT_EQ(sent.size(), 2U) << "what was recalled, then what is so";
--- a/tests/dns/dns_test.cpp
+++ b/tests/dns/dns_test.cpp
@@ -95,7 +95,7 @@
 }
 
 TEST_F(Served, WeightsFollowTheViewAndASmallOneIsNever0) {
-  rig->made[0].down = true;
+  rig->workers[0].down = true;
   rig->seconds(4);
   front->publish(rig->published, rig->core.group_map());
   EXPECT_EQ(count(ask("_read._tcp.refill.test", LDNS_RR_TYPE_SRV)), 5U);
@@ -151,7 +151,7 @@
 TEST_F(Served, ADrainingWorkersAddressIsTakenBack) {
   auto roster = rig->roster;
   roster[3].availability = Availability::draining;
-  rig->step({coordinator::RosterHeard{roster}});
+  rig->step({coordinator::RosterUpdate{roster}});
   front->publish(rig->published, rig->core.group_map());
   EXPECT_EQ(count(ask("w3.w.refill.test", LDNS_RR_TYPE_A)), 0U);
   EXPECT_EQ(count(ask("_read._tcp.refill.test", LDNS_RR_TYPE_SRV)), 5U);
@@ -197,8 +197,8 @@
 }
 
 TEST_F(Served, ALevelTurnsItsShareOfLookupsAwayAtOnce) {
-  auto published = std::make_shared<coordinator::Published>(*rig->published);
-  auto view = std::make_shared<coordinator::View>(*published->views[0][0]);
+  auto published = std::make_shared<coordinator::PublishedState>(*rig->published);
+  auto view = std::make_shared<coordinator::RoutingView>(*published->views[0][0]);
   view->version = 999, view->level.level = 0.25;
   published->views[0][0] = view;
   front->publish(published, rig->core.group_map());
@@ -250,8 +250,8 @@
 // RFC 2782: a lower priority is tried first, and weights count among records of one priority.
 TEST_F(Served, TiersArePrioritiesAndAddressesAreOfTheFirst) {
   start(60);
-  auto published = std::make_shared<coordinator::Published>(*rig->published);
-  auto view = std::make_shared<coordinator::View>(*published->views[0][0]);
+  auto published = std::make_shared<coordinator::PublishedState>(*rig->published);
+  auto view = std::make_shared<coordinator::RoutingView>(*published->views[0][0]);
   view->version = 1'000'000;
   std::set<std::string> later;
   for (std::size_t k = 0; k < view->lines.size(); ++k) {
--- a/tests/forwarders/plan_test.cpp
+++ b/tests/forwarders/plan_test.cpp
@@ -4,23 +4,23 @@
 #include <random>
 #include <set>
 
-#include "limits/fleet_limit.hpp"
+#include "limits/fleet_rate_limit.hpp"
 #include "runtime_api/codec.hpp"
 
 namespace gorsemount::forwarders {
 namespace {
 
-using coordinator::WantedLine;
-using coordinator::WantedTable;
+using coordinator::DesiredLine;
+using coordinator::DesiredTable;
 
-WantedLine line(int k, double weight, bool cold = false) {
+DesiredLine line(int k, double weight, bool cold = false) {
   return {BackendId{static_cast<std::uint32_t>(k)}, "w" + std::to_string(k),
           *Endpoint::parse("127.0.0." + std::to_string(k + 1) + ":9000"), weight, cold};
 }
-WantedTable table(std::vector<WantedLine> lines) {
-  WantedTable t;
-  for (int k = 0; k < 20; ++k) t.known.push_back("w" + std::to_string(k));
-  t.parts.push_back({"read", std::move(lines), {}, -1});
+DesiredTable table(std::vector<DesiredLine> lines) {
+  DesiredTable t;
+  for (int k = 0; k < 20; ++k) t.known_backends.push_back("w" + std::to_string(k));
+  t.operations.push_back({"read", std::move(lines), {}, -1});
   return t;
 }
 Held after(const Held& held, const std::vector<Change>& changes) {
@@ -30,7 +30,7 @@
 }
 
 TEST(WholeWeights, SharesOfAHundredthAndTrialStepsSurvive) {
-  std::vector<WantedLine> lines;
+  std::vector<DesiredLine> lines;
   for (int k = 0; k < 16; ++k) lines.push_back(line(k, 3));
   lines[0].weight = 0.01;  // far below a step of the range
   lines[1].weight = 0.3, lines[2].weight = 0.5;
@@ -58,7 +58,7 @@
   for (int round = 0; round < 4000; ++round) {
     Held held;
     std::set<std::string> gone, cold;
-    std::vector<WantedLine> lines;
+    std::vector<DesiredLine> lines;
     for (int k = 0; k < 2 + upto(10); ++k) {
       const bool is_cold = upto(4) == 0;
       if (is_cold) cold.insert("w" + std::to_string(k));
@@ -220,9 +220,9 @@
 
 // The part of the retry budget on its way to a forwarder, and what it tried again on its way back.
 TEST(RetryBudget, GoesOutAsOneValueAndComesBackAsRedispatches) {
-  coordinator::WantedTable wanted;
+  coordinator::DesiredTable wanted;
   EXPECT_FALSE(values_of(wanted).contains("retries")) << "without a budget nothing is said";
-  wanted.retries = 0.35;
+  wanted.retry_ratio = 0.35;
   EXPECT_EQ(values_of(wanted).at("retries"), 350);
   const auto changes = plan({}, wanted, true);
   ASSERT_EQ(changes.size(), 1U);
@@ -243,15 +243,15 @@
   EXPECT_EQ(std::get<Reading>(without).further.at("read"), 0U) << "a proxy that does not tell";
 }
 
-TEST(FleetLimit, SharesTheRateByWhatCameAndTheCheapestGoesFirst) {
-  limits::FleetLimit limit{100, {{OperationId{0}, 1, 1}, {OperationId{1}, 3, 1}}};
-  for (const std::uint16_t f : {0, 1, 2}) limit.joined(ProxyId{f});
-  limit.arrived(ProxyId{0}, OperationId{0}, 30, Span::seconds(1));
-  EXPECT_TRUE(limit.parts().empty()) << "room for all";
-  limit.arrived(ProxyId{0}, OperationId{0}, 80, Span::seconds(1));
-  limit.arrived(ProxyId{0}, OperationId{1}, 40, Span::seconds(1));
-  limit.arrived(ProxyId{1}, OperationId{1}, 40, Span::seconds(1));
-  const auto parts = limit.parts();
+TEST(FleetRateLimit, SharesTheRateByWhatCameAndTheCheapestGoesFirst) {
+  limits::FleetRateLimit limit{100, {{OperationId{0}, 1, 1}, {OperationId{1}, 3, 1}}};
+  for (const std::uint16_t f : {0, 1, 2}) limit.add_forwarder(ProxyId{f});
+  limit.record_arrivals(ProxyId{0}, OperationId{0}, 30, Span::seconds(1));
+  EXPECT_TRUE(limit.allocations().empty()) << "room for all";
+  limit.record_arrivals(ProxyId{0}, OperationId{0}, 80, Span::seconds(1));
+  limit.record_arrivals(ProxyId{0}, OperationId{1}, 40, Span::seconds(1));
+  limit.record_arrivals(ProxyId{1}, OperationId{1}, 40, Span::seconds(1));
+  const auto parts = limit.allocations();
   double sum = 0;
   std::map<std::uint8_t, double> by_op;
   for (const auto& [key, part] : parts) sum += part, by_op[key.second.value] += part;
@@ -259,8 +259,8 @@
   EXPECT_NEAR(by_op[1], 80, 1e-6) << "the dearest is met whole";
   EXPECT_NEAR(by_op[0], 20, 1e-6);
   EXPECT_GT((parts.at({ProxyId{2}, OperationId{1}})), 0) << "one that nobody asked yet has a line at once";
-  limit.left(ProxyId{0});
-  EXPECT_TRUE(limit.parts().empty());
+  limit.remove_forwarder(ProxyId{0});
+  EXPECT_TRUE(limit.allocations().empty());
 }
 
 }  // namespace
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -9,16 +9,16 @@
 
 namespace gorsemount::testing {
 
-inline Settings settings(LevelKind kind = LevelKind::share) {
+inline Settings settings(AdmissionMode kind = AdmissionMode::share) {
   Settings s;
   s.operations = {{Effect::idempotent, Span::seconds(1), 1}, {Effect::side_effecting, Span::seconds(1), 3}};
-  s.level_kind = kind;
+  s.admission_mode = kind;
   s.report_every = Span::seconds(1);
-  s.intake = 500;
+  s.max_report_rate = 500;
   s.backlog = 4000, s.push_rate = 4000, s.per_message = 5;
   s.messages_window = Span::seconds(10);
   s.keepalive = Span::seconds(15);
-  s.ask_within = Span::seconds(10);
+  s.subscribe_timeout = Span::seconds(10);
   s.drain_grace = Span::seconds(2);
   s.cold_from = 0.2;
   s.cold_for = Span::seconds(15);
@@ -30,26 +30,26 @@
 class Bench {
  public:
   explicit Bench(Settings s, unsigned n = 12) : settings{s}, policy{std::move(s), 7}, size{n} {
-    Listed listed{ListScope::remembered, {}};
+    BackendListUpdate listed{ListScope::cached, {}};
     for (unsigned k = 0; k < n; ++k) listed.entries.push_back(entry(k));
     tell({listed, ProxyJoined{ProxyId{0}, ZoneId{0}}, ProxyJoined{ProxyId{1}, ZoneId{1}}});
   }
 
-  static Listed::Entry entry(unsigned k, Availability a = Availability::ready,
-                             std::optional<Instant> started = {}) {
+  static BackendListUpdate::Entry entry(unsigned k, Availability a = Availability::ready,
+                                        std::optional<Instant> started = {}) {
     return {BackendId{100 + k}, ZoneId{static_cast<std::uint16_t>(k % 3)}, a, 1, started};
   }
   void tell(const std::vector<Event>& events) {
     last = policy.handle(now, events);
     for (const auto& order : last) {
-      if (const auto* line = std::get_if<SetLine>(&order)) {
+      if (const auto* line = std::get_if<SetWeight>(&order)) {
         if (line->table != TableId{}) continue;
         if (line->weight > 0)
           table[line->backend] = line->weight;
         else
           table.erase(line->backend);
-      } else if (const auto* level = std::get_if<SetLevel>(&order)) {
-        levels[level->operation] = level->level;
+      } else if (const auto* level = std::get_if<SetAdmission>(&order)) {
+        levels[level->operation] = level->limit;
       } else if (const auto* bind = std::get_if<BindProxy>(&order)) {
         bound[bind->proxy] = bind->table;
       }
--- a/tests/lab/person_test.cpp
+++ b/tests/lab/zone_drain_test.cpp
@@ -29,7 +29,7 @@
   day.backlog = day.lines_per_second = 20000;
   script::Person person;
   person.at = Span::seconds(10);
-  person.order.what = coordinator::PersonOrders::What::drain_zone, person.order.name = "ubungo";
+  person.order.action = coordinator::OperatorCommand::Action::drain_zone, person.order.name = "ubungo";
   day.persons.push_back(person);
   const auto played = play(day, {{"as it is", "", {}}}, 2, 1, {}, [](double) {});
   const Tally& all = played[0].whole;
--- a/tests/limits/retry_budget_test.cpp
+++ b/tests/limits/retry_budget_test.cpp
@@ -6,7 +6,7 @@
 
 #include <random>
 
-#include "limits/retry_meter.hpp"
+#include "limits/retry_limiter.hpp"
 
 namespace gorsemount::limits {
 namespace {
@@ -18,7 +18,7 @@
  public:
   explicit Fleet(std::size_t n, double share = kShare)
       : budget{share, Span::seconds(10)}, meters(n), held(n, share > 0 ? share : -1), bad(n, 0) {
-    for (std::uint16_t f = 0; f < n; ++f) budget.joined(ProxyId{f});
+    for (std::uint16_t f = 0; f < n; ++f) budget.add_forwarder(ProxyId{f});
   }
   // Each of `come` invocations fails at once with its forwarder's chance, and would be tried twice more.
   void rounds(int n, int come = 20) {
@@ -27,20 +27,21 @@
       for (std::uint16_t f = 0; f < meters.size(); ++f) {
         int further = 0;
         for (int i = 0; i < come; ++i) {
-          meters[f].first(now);
+          meters[f].record_first_try(now);
           for (int again = 0; again < 2 && std::uniform_real_distribution<>{}(chance) < bad[f]; ++again)
-            if (meters[f].again(now, held[f] < 0 ? -1 : static_cast<int>(1000 * held[f] + 1e-9))) ++further;
+            if (meters[f].allow_retry(now, held[f] < 0 ? -1 : static_cast<int>(1000 * held[f] + 1e-9)))
+              ++further;
         }
         first += come, all += further;
-        budget.met(now, ProxyId{f}, come, further);
+        budget.record_tries(now, ProxyId{f}, come, further);
       }
-      for (const auto& [id, part] : budget.deal(now))
+      for (const auto& [id, part] : budget.allocate(now))
         moved += part != held[id.value] ? 1 : 0, held[id.value] = part;
     }
   }
   void forget() { first = all = 0, moved = 0; }
   RetryBudget budget;
-  std::vector<RetryMeter> meters;
+  std::vector<RetryLimiter> meters;
   std::vector<double> held, bad;
   std::mt19937 chance{3};
   Instant now = Instant::at_seconds(100);
@@ -87,8 +88,8 @@
     std::vector<std::vector<std::pair<Instant, int>>> came(n);
     std::vector<int> rate(n, 10);
     std::vector<double> fails(n, 0);
-    for (std::uint16_t f = 0; f < n; ++f) budget.joined(ProxyId{f});
-    if (life % 3 == 0) budget.recall(ProxyId{0}, 9);
+    for (std::uint16_t f = 0; f < n; ++f) budget.add_forwarder(ProxyId{f});
+    if (life % 3 == 0) budget.restore(ProxyId{0}, 9);
     Instant now = Instant::at_seconds(5);
     for (int round = 0; round < 150; ++round) {
       now = now + Span::seconds(0.5);
@@ -96,11 +97,11 @@
         if (chance() % 20 == 0) rate[f] = static_cast<int>(chance() % 100);
         if (chance() % 20 == 0) fails[f] = static_cast<double>(chance() % 3) / 2;
         const int further = static_cast<int>(fails[f] * rate[f]);
-        budget.met(now, ProxyId{f}, rate[f], further);
+        budget.record_tries(now, ProxyId{f}, rate[f], further);
         came[f].emplace_back(now, rate[f]);
       }
       double most = 0, dealt = 0;
-      for (const auto& [id, part] : budget.deal(now)) {
+      for (const auto& [id, part] : budget.allocate(now)) {
         double first = 0;
         for (const auto& [when, k] : came[id.value]) first += now - when <= Span::seconds(10) ? k : 0;
         most += kShare * first, dealt += part * first;
@@ -114,36 +115,37 @@
 
 TEST(RetryBudget, WhatWasDealtBeforeARestartStandsTillReportsSayOtherwise) {
   RetryBudget budget{kShare, Span::seconds(10)};
-  budget.joined(ProxyId{1}), budget.joined(ProxyId{2});
-  budget.recall(ProxyId{1}, 3 * kShare);
-  EXPECT_NEAR(budget.parts().at(ProxyId{1}), 3 * kShare, 1e-12);
-  budget.met(Instant::at_seconds(1), ProxyId{1}, 100, 0),
-      budget.met(Instant::at_seconds(1), ProxyId{2}, 100, 0);
-  EXPECT_NEAR(budget.deal(Instant::at_seconds(1)).at(ProxyId{1}), kShare, 1e-12);
+  budget.add_forwarder(ProxyId{1}), budget.add_forwarder(ProxyId{2});
+  budget.restore(ProxyId{1}, 3 * kShare);
+  EXPECT_NEAR(budget.allocations().at(ProxyId{1}), 3 * kShare, 1e-12);
+  budget.record_tries(Instant::at_seconds(1), ProxyId{1}, 100, 0),
+      budget.record_tries(Instant::at_seconds(1), ProxyId{2}, 100, 0);
+  EXPECT_NEAR(budget.allocate(Instant::at_seconds(1)).at(ProxyId{1}), kShare, 1e-12);
 }
 
 TEST(RetryBudget, SideEffectingWorkNeverGetsMoreThanProof) {
   for (const auto ordered :
-       {FurtherTries::none, FurtherTries::after_proof, FurtherTries::one, FurtherTries::two}) {
-    EXPECT_EQ(allowed(Effect::side_effecting, ordered), std::min(ordered, FurtherTries::after_proof));
-    EXPECT_EQ(allowed(Effect::fingerprinted, ordered), std::min(ordered, FurtherTries::one));
-    EXPECT_EQ(allowed(Effect::idempotent, ordered), ordered);
+       {RetryPolicy::none, RetryPolicy::if_unprocessed, RetryPolicy::one, RetryPolicy::two}) {
+    EXPECT_EQ(allowed_retries(Effect::side_effecting, ordered),
+              std::min(ordered, RetryPolicy::if_unprocessed));
+    EXPECT_EQ(allowed_retries(Effect::fingerprinted, ordered), std::min(ordered, RetryPolicy::one));
+    EXPECT_EQ(allowed_retries(Effect::idempotent, ordered), ordered);
   }
 }
 
-TEST(RetryMeter, CountsTheLastTenSecondsAndLeavesAFewInAnyCase) {
-  RetryMeter meter;
+TEST(RetryLimiter, CountsTheLastTenSecondsAndLeavesAFewInAnyCase) {
+  RetryLimiter meter;
   Instant now = Instant::at_seconds(50);
   int may = 0;
-  for (int k = 0; k < 10; ++k) may += meter.again(now, 0) ? 1 : 0;
+  for (int k = 0; k < 10; ++k) may += meter.allow_retry(now, 0) ? 1 : 0;
   EXPECT_EQ(may, 3);
-  for (int k = 0; k < 100; ++k) meter.first(now);
-  for (int k = 0; k < 100; ++k) may += meter.again(now, 200) ? 1 : 0;
+  for (int k = 0; k < 100; ++k) meter.record_first_try(now);
+  for (int k = 0; k < 100; ++k) may += meter.allow_retry(now, 200) ? 1 : 0;
   EXPECT_EQ(may, 20);
   now = now + Span::seconds(9.5);
-  EXPECT_FALSE(meter.again(now, 200));
+  EXPECT_FALSE(meter.allow_retry(now, 200));
   now = now + Span::seconds(1);
-  EXPECT_TRUE(meter.again(now, 200)) << "what is older counts no more";
+  EXPECT_TRUE(meter.allow_retry(now, 200)) << "what is older counts no more";
 }
 
 }  // namespace
--- a/tests/net/net_test.cpp
+++ b/tests/net/net_test.cpp
@@ -260,8 +260,8 @@
   auto groups = std::make_shared<const coordinator::GroupMap>(s);
   dns::Front front{{"x.test", "h.x.test", {"ns.x.test"}, *Address::parse("127.0.0.1"), 1, 1232, {}, 16, 2},
                    groups};
-  auto published = std::make_shared<coordinator::Published>();
-  published->directory = std::make_shared<const std::map<BackendId, coordinator::Known>>();
+  auto published = std::make_shared<coordinator::PublishedState>();
+  published->directory = std::make_shared<const std::map<BackendId, coordinator::DirectoryEntry>>();
   published->views.resize(1);
   front.publish(published, groups);
   dns::Server server{loop, front, {kAt, 1, Span::seconds(5)}, [](ProxyId) {}};
