--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -11,22 +11,22 @@
   EXPECT_EQ(b.table.size(), 12U);
   EXPECT_EQ(b.bound.size(), 2U);
   b.rounds(5);
-  EXPECT_EQ(b.count<SetLine>(), 0);
+  EXPECT_EQ(b.count<SetWeight>(), 0);
   for (unsigned k = 0; k < b.size; ++k) EXPECT_DOUBLE_EQ(b.weight(k), 1);
 }
 
 TEST(Rules, ADrainIsCutInTheReplyThatLearnsOfIt) {
   Bench b{settings()};
-  b.tell({Listed{ListScope::changes, {Bench::entry(3, Availability::draining)}}});
+  b.tell({BackendListUpdate{ListScope::delta, {Bench::entry(3, Availability::draining)}}});
   EXPECT_EQ(b.weight(3), 0);
-  b.tell({Listed{ListScope::changes, {Bench::entry(4, Availability::gone)}}});
+  b.tell({BackendListUpdate{ListScope::delta, {Bench::entry(4, Availability::gone)}}});
   EXPECT_EQ(b.weight(4), 0);
 }
 
 TEST(Rules, AStartIsCutInTheReplyThatLearnsOfItAndRampsToFull) {
   Bench b{settings()};
   b.rounds(3);
-  b.tell({Listed{ListScope::changes, {Bench::entry(3, Availability::ready, b.now)}}});
+  b.tell({BackendListUpdate{ListScope::delta, {Bench::entry(3, Availability::ready, b.now)}}});
   EXPECT_LE(b.weight(3), 0.2);
   b.rounds(12);
   EXPECT_GT(b.weight(3), 0.3);
@@ -37,12 +37,12 @@
 
 TEST(Rules, NewcomersWaitForTheFirstRoundAndWhileTheFleetIsHot) {
   Bench unheard{settings()};
-  unheard.tell({Listed{ListScope::changes, {Bench::entry(3, Availability::ready, unheard.now)}}});
+  unheard.tell({BackendListUpdate{ListScope::delta, {Bench::entry(3, Availability::ready, unheard.now)}}});
   EXPECT_EQ(unheard.weight(3), 0);
   Bench hot{settings()};
-  const auto busy = [](unsigned, BackendReport& r) { r.busy = 0.95; };
+  const auto busy = [](unsigned, BackendReport& r) { r.utilization = 0.95; };
   hot.rounds(3, busy);
-  hot.tell({Listed{ListScope::changes, {Bench::entry(3, Availability::ready, hot.now)}}});
+  hot.tell({BackendListUpdate{ListScope::delta, {Bench::entry(3, Availability::ready, hot.now)}}});
   EXPECT_EQ(hot.weight(3), 0);
   hot.rounds(14, busy);
   EXPECT_GT(hot.weight(3), 0);
@@ -56,14 +56,14 @@
 
 TEST(Rules, AListThatMustBeAskedForIsAskedForAgainAfterAFailure) {
   Settings s = settings();
-  s.ask_for_list = true;
+  s.explicit_subscription = true;
   Bench b{s};
-  EXPECT_EQ(b.count<FollowList>(), 1);
-  b.tell({Listed{ListScope::failed, {}}});
-  EXPECT_EQ(b.count<FollowList>(), 0);
+  EXPECT_EQ(b.count<SubscribeToList>(), 1);
+  b.tell({BackendListUpdate{ListScope::failed, {}}});
+  EXPECT_EQ(b.count<SubscribeToList>(), 0);
   b.now = b.now + Span::seconds(1.5);
   b.tell({TimerFired{}});
-  EXPECT_EQ(b.count<FollowList>(), 1);
+  EXPECT_EQ(b.count<SubscribeToList>(), 1);
 }
 
 TEST(Rules, WhereGoneDoesNotBindABackendThatAnswersStaysUntilItFails) {
@@ -71,7 +71,7 @@
   s.removal_binds = false;
   Bench b{s};
   b.rounds(3);
-  Listed shrunk{ListScope::changes, {}};
+  BackendListUpdate shrunk{ListScope::delta, {}};
   for (unsigned k = 0; k < 9; ++k) shrunk.entries.push_back(Bench::entry(k, Availability::gone));
   shrunk.entries.push_back(Bench::entry(9, Availability::draining));
   b.tell({shrunk});
@@ -84,14 +84,15 @@
   Settings s = settings();
   s.proxies = 100;
   Policy policy{s, 1};
-  std::vector<Event> events{Listed{ListScope::remembered, {}}};
-  for (unsigned k = 0; k < 240; ++k) std::get<Listed>(events[0]).entries.push_back(Bench::entry(k));
+  std::vector<Event> events{BackendListUpdate{ListScope::cached, {}}};
+  for (unsigned k = 0; k < 240; ++k)
+    std::get<BackendListUpdate>(events[0]).entries.push_back(Bench::entry(k));
   for (std::uint16_t p = 0; p < 100; ++p) events.emplace_back(ProxyJoined{ProxyId{p}, ZoneId{}, 4});
   std::map<TableId, std::map<ZoneId, int>> zones;
   std::map<TableId, int> users;
   std::set<BackendId> held;
   for (const auto& order : policy.handle(Instant::at_seconds(50), events)) {
-    if (const auto* line = std::get_if<SetLine>(&order)) {
+    if (const auto* line = std::get_if<SetWeight>(&order)) {
       EXPECT_TRUE(held.insert(line->backend).second);
       ++zones[line->table][ZoneId{static_cast<std::uint16_t>((line->backend.value - 100) % 3)}];
     } else if (const auto* bind = std::get_if<BindProxy>(&order)) {
@@ -130,7 +131,7 @@
   int round = 0;
   const auto by_turns = [&](unsigned k, BackendReport& r) {
     round += k == 0 ? 1 : 0;
-    r.over = Span::seconds(3), r.tries = static_cast<int>(k) % 3 == round % 3 ? 30 : 0;
+    r.interval = Span::seconds(3), r.tries = static_cast<int>(k) % 3 == round % 3 ? 30 : 0;
   };
   b.rounds(12, by_turns);
   EXPECT_EQ(b.table.size(), 12U);
@@ -196,7 +197,7 @@
   std::map<TableId, std::map<BackendId, double>> tables;
   const auto tell = [&](std::vector<Event> events) {
     for (const auto& order : policy.handle(now, events))
-      if (const auto* line = std::get_if<SetLine>(&order)) {
+      if (const auto* line = std::get_if<SetWeight>(&order)) {
         if (line->weight > 0)
           tables[line->table][line->backend] = line->weight;
         else
@@ -204,7 +205,7 @@
       }
   };
   std::vector<Event> start;
-  Listed all{ListScope::remembered, {}};
+  BackendListUpdate all{ListScope::cached, {}};
   for (unsigned k = 0; k < 30; ++k) {
     all.entries.push_back(Bench::entry(k));
     fleet[BackendId{100 + k}] = ZoneId{static_cast<std::uint16_t>(k % 3)};
@@ -217,12 +218,12 @@
   for (unsigned k = 0; k < 60; ++k) {  // the oldest goes, a new one of its zone comes
     const auto old = *fleet.begin();
     const BackendId fresh{1000 + k};
-    Listed drain{ListScope::changes, {{old.first, old.second, Availability::draining, 1, {}}}};
+    BackendListUpdate drain{ListScope::delta, {{old.first, old.second, Availability::draining, 1, {}}}};
     tell({drain});
     now = now + Span::seconds(1);
-    Listed change{ListScope::changes,
-                  {{old.first, old.second, Availability::gone, 1, {}},
-                   {fresh, old.second, Availability::ready, 1, {}}}};
+    BackendListUpdate change{ListScope::delta,
+                             {{old.first, old.second, Availability::gone, 1, {}},
+                              {fresh, old.second, Availability::ready, 1, {}}}};
     fleet.erase(old.first), fleet[fresh] = old.second;
     tell({change});
     for (int tick = 0; tick < 4; ++tick) now = now + Span::seconds(0.25), tell({TimerFired{}});
@@ -237,21 +238,21 @@
 
 TEST(Levels, OverloadTakesFromTheLeastBilledFirstAndGivesBack) {
   Bench b{settings()};
-  b.rounds(2, [](unsigned, BackendReport& r) { r.busy = 1.0, r.mean_latency = Span::seconds(0.6); });
+  b.rounds(2, [](unsigned, BackendReport& r) { r.utilization = 1.0, r.mean_latency = Span::seconds(0.6); });
   EXPECT_LT(b.levels[OperationId{0}], 0.9);
   EXPECT_DOUBLE_EQ(b.levels[OperationId{1}], 1);
-  b.rounds(12, [](unsigned, BackendReport& r) { r.busy = 0.4; });
+  b.rounds(12, [](unsigned, BackendReport& r) { r.utilization = 0.4; });
   EXPECT_DOUBLE_EQ(b.levels[OperationId{0}], 1);
 }
 
 TEST(Levels, WhatCanBeCarriedGrowsWithTheProxiesThatComeBackAfterARestart) {
   Policy policy{settings(), 1};
-  std::vector<Event> events{Listed{ListScope::remembered, {}}, ProxyJoined{ProxyId{0}, ZoneId{}, 10}};
-  for (unsigned k = 0; k < 12; ++k) std::get<Listed>(events[0]).entries.push_back(Bench::entry(k));
+  std::vector<Event> events{BackendListUpdate{ListScope::cached, {}}, ProxyJoined{ProxyId{0}, ZoneId{}, 10}};
+  for (unsigned k = 0; k < 12; ++k) std::get<BackendListUpdate>(events[0]).entries.push_back(Bench::entry(k));
   double lowest = 1;
   for (int round = 0; round < 9; ++round) {
     for (const auto& order : policy.handle(Instant::at_seconds(50 + round), events))
-      if (const auto* level = std::get_if<SetLevel>(&order)) lowest = std::min(lowest, level->level);
+      if (const auto* level = std::get_if<SetAdmission>(&order)) lowest = std::min(lowest, level->limit);
     events.clear();
     const std::uint16_t proxies = round < 4 ? 1 : 10;
     for (std::uint16_t p = 1; round == 4 && p < 10; ++p)
@@ -269,11 +270,11 @@
 // Many proxies to which little comes tell of it now and then: what was last told adds up to half as much
 // again as comes, and must not be taken for an overload.
 TEST(Levels, ProxiesThatTellOnlyNowAndThenAreNoOverload) {
-  Settings s = settings(LevelKind::rate);
+  Settings s = settings(AdmissionMode::rate);
   s.proxies = 200, s.coordinators = 1;
   Policy policy{s, 7};
   Instant now = Instant::at_seconds(1000);
-  Listed all{ListScope::remembered, {}};
+  BackendListUpdate all{ListScope::cached, {}};
   for (unsigned k = 0; k < 12; ++k) all.entries.push_back(Bench::entry(k));
   std::vector<Event> events{all};
   for (std::uint16_t p = 0; p < 200; ++p)
@@ -283,7 +284,7 @@
   int lowered = 0;
   for (int round = 0; round < 40; ++round) {
     for (const auto& order : policy.handle(now, events))
-      if (const auto* level = std::get_if<SetLevel>(&order)) lowered += level->level < 1000 ? 1 : 0;
+      if (const auto* level = std::get_if<SetAdmission>(&order)) lowered += level->limit < 1000 ? 1 : 0;
     now = now + Span::seconds(1);
     events.clear();
     int came = 0;
@@ -305,8 +306,8 @@
 
 TEST(Levels, ErrorsInAnIdleFleetLowerNoLevel) {
   Bench b{settings()};
-  b.rounds(6, [](unsigned, BackendReport& r) { r.busy = 0.5; });
-  b.rounds(6, [](unsigned, BackendReport& r) { r.busy = 0.5, r.errored = 3; });
+  b.rounds(6, [](unsigned, BackendReport& r) { r.utilization = 0.5; });
+  b.rounds(6, [](unsigned, BackendReport& r) { r.utilization = 0.5, r.errored = 3; });
   EXPECT_DOUBLE_EQ(b.levels[OperationId{0}], 1);
 }
 
--- a/tests/record/record_test.cpp
+++ b/tests/record/record_test.cpp
@@ -40,20 +40,21 @@
                     true,         0.25,
                     std::nullopt, {{OperationId{1}, *Prefix::parse("127.1.0.0/24"), 9, 8, 1, 2, 0.75}}};
   return {
-      RosterHeard{some_roster(3)},
-      LoadHeard{BackendId{1}, Instant::at_seconds(3), sample},
-      LoadMissing{BackendId{2}, "refused"},
-      HealthHeard{BackendId{2}, Health::refused, Span::seconds(0.1)},
-      LookedUp{ProxyId{1}},
+      RosterUpdate{test_roster(3)},
+      LoadReport{BackendId{1}, Instant::at_seconds(3), sample},
+      LoadPollFailed{BackendId{2}, "refused"},
+      HealthCheckResult{BackendId{2}, Health::refused, Span::seconds(0.1)},
+      GroupLookup{ProxyId{1}},
       ForwarderJoined{ProxyId{30000}, true},
       ForwarderLeft{ProxyId{30000}},
-      ForwarderMet{
+      ForwarderReport{
           ProxyId{30000}, {{BackendId{1}, OperationId{0}, 5, 1, Span::seconds(0.2)}}, {{OperationId{0}, 6}}},
-      ForwarderHolds{ProxyId{30000}, 7},
-      PersonOrders{PersonOrders::What::set_weight, "w1", 0.5, Span::seconds(60)},
-      Recalled{{{{recovery::Kind::hold, "a"}, {"", {{"on", 1}}, {}}, Instant::at_seconds(2), 1, false}}},
-      GroupLed{ProxyId{0}, false},
-      Followed{ProxyId{0}, true, {{"w1", 0.5}}, {{1, 0.75}}}};
+      ForwarderAppliedTable{ProxyId{30000}, 7},
+      OperatorCommand{OperatorCommand::Action::set_weight, "w1", 0.5, Span::seconds(60)},
+      FactsReceived{
+          {{{recovery::FactKind::hold, "a"}, {"", {{"on", 1}}, {}}, Instant::at_seconds(2), 1, false}}},
+      GroupLeadership{ProxyId{0}, false},
+      LeaderTable{ProxyId{0}, true, {{"w1", 0.5}}, {{1, 0.75}}}};
 }
 
 TEST(RecordCodec, CarriesEveryKindOfInput) {
@@ -82,7 +83,7 @@
     t += chance() % 2000;
     const std::string orders = "orders of " + std::to_string(k);
     r.steps.push_back(
-        {t, XXH3_64bits(orders.data(), orders.size()), encode({LookedUp{ProxyId{1}}}, Instant{}), orders});
+        {t, XXH3_64bits(orders.data(), orders.size()), encode({GroupLookup{ProxyId{1}}}, Instant{}), orders});
     r.invocations.push_back({t / 100 * 100, static_cast<std::uint32_t>(100 * (chance() % 5000)),
                              static_cast<std::uint8_t>(chance() % 2), static_cast<std::uint8_t>(chance() % 5),
                              1, 0, static_cast<std::uint16_t>(chance() % 2)});
@@ -194,7 +195,7 @@
   EXPECT_EQ(detail_for(80, 100), Detail::no_inputs);
   EXPECT_EQ(detail_for(100, 100), Detail::nothing);
   const Folder folder;
-  background::Background background{net::monotonic_now};
+  background::Executor background{net::monotonic_now};
   EXPECT_THROW(
       (Recorder{
           background, {folder.at("nowhere/a.h5"), 1U << 30U, 64}, {}, Instant{}, [](const std::string&) {}}),
@@ -222,27 +223,28 @@
   const auto settings = config::read_settings(header.settings, "s", findings);
   ASSERT_TRUE(findings.faults.empty()) << findings.faults.front().text();
   {
-    background::Background background{net::monotonic_now};
+    background::Executor background{net::monotonic_now};
     Recorder recorder{
         background, {folder.at("a.h5"), 1U << 30U, 100000}, header, Instant{}, [](const std::string&) {}};
     Rig rig{9, settings.core};
-    Coordinator core{settings.core, module_of(settings.core)};
+    Coordinator core{settings.core, policy_decision_maker(settings.core)};
     Instant now = Instant::at_seconds(5000);
     const auto step = [&](std::vector<Input> inputs) {
       const auto effects = core.step(now, inputs);
       recorder.step(now, std::move(inputs), effects);
     };
-    step({RosterHeard{rig.roster}});
+    step({RosterUpdate{rig.roster}});
     for (int k = 0; k < 200; ++k) {
       now = now + Span::seconds(0.1);
       std::vector<Input> inputs;
       for (unsigned w = 0; w < 9; ++w) {
-        rig.made[w].started = Instant::at_seconds(4000), rig.now = now;
-        rig.made[w].taken += 3, rig.made[w].succeeded += w == 2 && k > 60 ? 0 : 3,
-            rig.made[w].errored += w == 2 && k > 60 ? 3 : 0;
-        if (k % 5 == 0) inputs.emplace_back(LoadHeard{*core.id_of(rig.roster[w].name), now, rig.sample(w)});
+        rig.workers[w].started = Instant::at_seconds(4000), rig.now = now;
+        rig.workers[w].taken += 3, rig.workers[w].succeeded += w == 2 && k > 60 ? 0 : 3,
+            rig.workers[w].errored += w == 2 && k > 60 ? 3 : 0;
+        if (k % 5 == 0)
+          inputs.emplace_back(LoadReport{*core.backend_id(rig.roster[w].name), now, rig.sample(w)});
       }
-      if (k % 10 == 0) inputs.emplace_back(LookedUp{ProxyId{0}});
+      if (k % 10 == 0) inputs.emplace_back(GroupLookup{ProxyId{0}});
       step(std::move(inputs));
     }
   }
@@ -266,7 +268,7 @@
       LoadSample s{"boot-" + std::to_string(k % 3), 10.0 + k, false, 0.1, 0.0, {}};
       r->steps.push_back(
           {static_cast<std::int64_t>(1e6 * (k + shift)), 0,
-           encode({LoadHeard{BackendId{1}, Instant::at_seconds(k + shift + 0.001 * (k % 2)), s}}, Instant{}),
+           encode({LoadReport{BackendId{1}, Instant::at_seconds(k + shift + 0.001 * (k % 2)), s}}, Instant{}),
            ""});
     }
   a.operations = {"read"}, b.operations = {"write", "read"}, a.workers = b.workers = {"a-1"};
--- a/tests/recovery/recovery_test.cpp
+++ b/tests/recovery/recovery_test.cpp
@@ -4,9 +4,9 @@
 #include <algorithm>
 #include <random>
 
-#include "recovery/belief.hpp"
 #include "recovery/codec.hpp"
-#include "recovery/knowledge.hpp"
+#include "recovery/fact_confidence.hpp"
+#include "recovery/fact_log.hpp"
 
 namespace gorsemount::recovery {
 namespace {
@@ -14,41 +14,41 @@
 Instant at(double s) { return Instant::at_seconds(s); }
 Facts some(double share) {
   Facts f;
-  f[{Kind::zone_ladder, "a"}] = {"", {{"share", share}}, {{"next", at(50)}}};
-  f[{Kind::usual_rate, "g"}] = {"", {{"rate", 100}}, {}};
+  f[{FactKind::zone_ladder, "a"}] = {"", {{"share", share}}, {{"next", at(50)}}};
+  f[{FactKind::usual_rate, "g"}] = {"", {{"rate", 100}}, {}};
   return f;
 }
 
-TEST(Knowledge, WritesOnlyWhatDiffersAndSaysWhatIsGone) {
-  Knowledge k;
+TEST(FactLog, WritesOnlyWhatDiffersAndSaysWhatIsGone) {
+  FactLog k;
   EXPECT_EQ(k.observe(at(1), some(0.5)), 2U);
   EXPECT_EQ(k.observe(at(2), some(0.5)), 0U);
   auto facts = some(0.5);
-  facts[{Kind::usual_rate, "g"}].figures["rate"] = 104;  // measured again, not moved
-  facts[{Kind::zone_ladder, "a"}].times["next"] = at(50.1);
+  facts[{FactKind::usual_rate, "g"}].figures["rate"] = 104;  // measured again, not moved
+  facts[{FactKind::zone_ladder, "a"}].times["next"] = at(50.1);
   EXPECT_EQ(k.observe(at(3), facts), 0U);
-  facts[{Kind::usual_rate, "g"}].figures["rate"] = 130;
-  facts[{Kind::zone_ladder, "a"}].figures["share"] = 0.4999;
+  facts[{FactKind::usual_rate, "g"}].figures["rate"] = 130;
+  facts[{FactKind::zone_ladder, "a"}].figures["share"] = 0.4999;
   EXPECT_EQ(k.observe(at(4), facts), 2U);
-  facts.erase({Kind::zone_ladder, "a"});
+  facts.erase({FactKind::zone_ladder, "a"});
   EXPECT_EQ(k.observe(at(5), facts), 1U);
   const auto news = k.after(4);
   ASSERT_EQ(news.size(), 1U);
-  EXPECT_TRUE(news[0].gone);
-  k.forget_gone(at(6), 4);
+  EXPECT_TRUE(news[0].deleted);
+  k.purge_deleted(at(6), 4);
   EXPECT_EQ(k.entries().size(), 2U) << "not everybody was told";
-  k.forget_gone(at(6), 5);
+  k.purge_deleted(at(6), 5);
   EXPECT_EQ(k.entries().size(), 1U);
 }
 
 // Whoever reads the log from anywhere, at any pace, ends with what is so: the log is its own snapshot.
-TEST(Knowledge, AReaderAtAnyPaceEndsWithTheSame) {
+TEST(FactLog, AReaderAtAnyPaceEndsWithTheSame) {
   std::mt19937 chance{5};
-  Knowledge k, copy;
+  FactLog k, copy;
   std::uint64_t upto = 0;
   Facts present;
   for (int step = 0; step < 400; ++step) {
-    const Subject s{Kind::backend_ladder, "w" + std::to_string(chance() % 20)};
+    const Subject s{FactKind::backend_ladder, "w" + std::to_string(chance() % 20)};
     if (chance() % 3 == 0) {
       present.erase(s);
     } else {
@@ -62,31 +62,31 @@
   for (const auto& [subject, fact] : present) {
     const auto it = copy.entries().find(subject);
     ASSERT_NE(it, copy.entries().end());
-    EXPECT_FALSE(it->second.gone);
+    EXPECT_FALSE(it->second.deleted);
     EXPECT_EQ(it->second.fact.figures, fact.figures);
   }
   for (const auto& [subject, e] : copy.entries())
-    EXPECT_TRUE(e.gone || present.contains(subject)) << subject.name;
+    EXPECT_TRUE(e.deleted || present.contains(subject)) << subject.name;
 }
 
-TEST(Knowledge, IsBoundedAndLosesWhatIsTrustedLeast) {
-  Knowledge k{10};
+TEST(FactLog, IsBoundedAndLosesWhatIsTrustedLeast) {
+  FactLog k{10};
   Facts facts;
-  for (int n = 0; n < 8; ++n) facts[{Kind::zone_ladder, std::to_string(n)}].figures["share"] = 0;
+  for (int n = 0; n < 8; ++n) facts[{FactKind::zone_ladder, std::to_string(n)}].figures["share"] = 0;
   k.observe(at(0), facts);
-  for (int n = 0; n < 8; ++n) facts[{Kind::person_out, std::to_string(n)}].figures["out"] = 1;
+  for (int n = 0; n < 8; ++n) facts[{FactKind::person_out, std::to_string(n)}].figures["out"] = 1;
   k.observe(at(100), facts);
   EXPECT_EQ(k.entries().size(), 10U);
-  for (int n = 0; n < 8; ++n) EXPECT_TRUE(k.entries().contains({Kind::person_out, std::to_string(n)}));
+  for (int n = 0; n < 8; ++n) EXPECT_TRUE(k.entries().contains({FactKind::person_out, std::to_string(n)}));
 }
 
 TEST(Codec, CarriesFactsAndMovesTimesToTheReadersClock) {
-  std::vector<Entry> entries{{{Kind::backend_ladder, "w1"},
+  std::vector<Entry> entries{{{FactKind::backend_ladder, "w1"},
                               {"127.0.0.1:9", {{"share", 0.25}}, {{"started", at(90)}}},
                               at(95),
                               7,
                               false},
-                             {{Kind::hold, "a"}, {}, at(99), 9, true}};
+                             {{FactKind::hold, "a"}, {}, at(99), 9, true}};
   const auto read = decode(encode(entries, at(100)), at(5000));
   ASSERT_TRUE(std::holds_alternative<std::vector<Entry>>(read));
   const auto& got = std::get<std::vector<Entry>>(read);
@@ -97,12 +97,12 @@
   EXPECT_EQ(got[0].fact.times.at("started"), at(4990));
   EXPECT_EQ(got[0].learned, at(4995));
   EXPECT_EQ(got[0].sequence, 7U);
-  EXPECT_TRUE(got[1].gone);
+  EXPECT_TRUE(got[1].deleted);
 }
 
 TEST(Codec, TakesNoBatchThatIsCutOrBent) {
   std::vector<Entry> entries{
-      {{Kind::backend_ladder, "w1"}, {"m", {{"share", 0.25}}, {{"next", at(90)}}}, at(95), 7, false}};
+      {{FactKind::backend_ladder, "w1"}, {"m", {{"share", 0.25}}, {{"next", at(90)}}}, at(95), 7, false}};
   const std::string good = encode(entries, at(100));
   std::mt19937 chance{3};
   for (std::size_t cut = 0; cut + 8 < good.size(); ++cut)
@@ -124,47 +124,47 @@
 
 TEST(Belief, EachKindAgesByItsNatureAndAWeekOldFileActsOnNothing) {
   const double week = 7 * 86400;
-  for (std::size_t k = 0; k < kKinds; ++k) {
-    const Kind kind = static_cast<Kind>(k);
-    EXPECT_EQ(weigh(kind, Span::seconds(0.5)), Weight::acts) << name_of(kind);
-    EXPECT_NE(weigh(kind, Span::seconds(week)), Weight::acts) << name_of(kind);
-    EXPECT_EQ(weigh(kind, Span::seconds(-5)), Weight::hint)
+  for (std::size_t k = 0; k < kFactKindCount; ++k) {
+    const FactKind kind = static_cast<FactKind>(k);
+    EXPECT_EQ(classify(kind, Span::seconds(0.5)), FactUse::apply) << name_of(kind);
+    EXPECT_NE(classify(kind, Span::seconds(week)), FactUse::apply) << name_of(kind);
+    EXPECT_EQ(classify(kind, Span::seconds(-5)), FactUse::hint)
         << "of the future: a clock lies; " << name_of(kind);
   }
-  EXPECT_EQ(weigh(Kind::zone_ladder, Span::seconds(100)), Weight::acts);
-  EXPECT_EQ(weigh(Kind::zone_ladder, Span::seconds(200)), Weight::hint);
-  EXPECT_EQ(weigh(Kind::zone_ladder, Span::seconds(600)), Weight::nothing);
-  EXPECT_EQ(weigh(Kind::carried, Span::seconds(3600)), Weight::acts);
-  EXPECT_EQ(weigh(Kind::usual_rate, Span::seconds(week)), Weight::hint);
+  EXPECT_EQ(classify(FactKind::zone_ladder, Span::seconds(100)), FactUse::apply);
+  EXPECT_EQ(classify(FactKind::zone_ladder, Span::seconds(200)), FactUse::hint);
+  EXPECT_EQ(classify(FactKind::zone_ladder, Span::seconds(600)), FactUse::ignore);
+  EXPECT_EQ(classify(FactKind::carried, Span::seconds(3600)), FactUse::apply);
+  EXPECT_EQ(classify(FactKind::usual_rate, Span::seconds(week)), FactUse::hint);
 }
 
 TEST(Belief, AMemoryInWhichMostAreOutIsNotBelieved) {
   std::vector<Entry> entries;
-  entries.push_back({{Kind::fleet, "fleet"}, {"", {{"backends", 10}}, {}}, at(0), 1, false});
-  entries.push_back({{Kind::zone_ladder, "a"}, {"", {{"share", 0}}, {}}, at(0), 2, false});
+  entries.push_back({{FactKind::fleet, "fleet"}, {"", {{"backends", 10}}, {}}, at(0), 1, false});
+  entries.push_back({{FactKind::zone_ladder, "a"}, {"", {{"share", 0}}, {}}, at(0), 2, false});
   for (int k = 0; k < 5; ++k)
-    entries.push_back({{Kind::backend_ladder, std::to_string(k)},
+    entries.push_back({{FactKind::backend_ladder, std::to_string(k)},
                        {"", {{"share", 0}}, {}},
                        at(0),
                        3U + static_cast<unsigned>(k),
                        false});
-  const auto b = believe(entries, at(1), at(2));
-  EXPECT_TRUE(b.too_many_out);
-  EXPECT_EQ(b.acts.size(), 2U);
+  const auto b = select_trusted(entries, at(1), at(2));
+  EXPECT_TRUE(b.too_many_excluded);
+  EXPECT_EQ(b.applicable.size(), 2U);
   EXPECT_EQ(b.hints.size(), 5U);
   entries.resize(5);
-  EXPECT_EQ(believe(entries, at(1), at(2)).acts.size(), 5U);
+  EXPECT_EQ(select_trusted(entries, at(1), at(2)).applicable.size(), 5U);
 }
 
 TEST(Belief, OfSeveralWhoKnowTheLowerShareAndTheLaterOrderCount) {
-  const Entry low{{Kind::zone_ladder, "a"}, {"", {{"share", 0.1}}, {}}, at(1), 1, false};
-  const Entry high{{Kind::zone_ladder, "a"}, {"", {{"share", 0.9}}, {}}, at(5), 1, false};
-  const Entry old{{Kind::person_out, "w"}, {"", {{"out", 1}}, {}}, at(1), 2, false};
-  const Entry fresh{{Kind::person_out, "w"}, {"", {{"out", 0}}, {}}, at(2), 2, false};
+  const Entry low{{FactKind::zone_ladder, "a"}, {"", {{"share", 0.1}}, {}}, at(1), 1, false};
+  const Entry high{{FactKind::zone_ladder, "a"}, {"", {{"share", 0.9}}, {}}, at(5), 1, false};
+  const Entry old{{FactKind::person_out, "w"}, {"", {{"out", 1}}, {}}, at(1), 2, false};
+  const Entry fresh{{FactKind::person_out, "w"}, {"", {{"out", 0}}, {}}, at(2), 2, false};
   const auto merged = merge({{high, old}, {low, fresh}});
   ASSERT_EQ(merged.size(), 2U);
   for (const auto& e : merged)
-    EXPECT_EQ(e.fact.figures.begin()->second, e.subject.kind == Kind::zone_ladder ? 0.1 : 0);
+    EXPECT_EQ(e.fact.figures.begin()->second, e.subject.kind == FactKind::zone_ladder ? 0.1 : 0);
 }
 
 }  // namespace
--- a/tests/rules_model_test.cpp
+++ b/tests/rules_model_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 struct Known {
-  Listed::Entry entry;
+  BackendListUpdate::Entry entry;
   Instant learned;
 };
 
@@ -21,7 +21,7 @@
  public:
   explicit Model(const Settings& s) : s_{s} {}
 
-  void learn(Instant now, const Listed& listed) {
+  void learn(Instant now, const BackendListUpdate& listed) {
     for (const auto& e : listed.entries) {
       const auto row = known_.find(e.backend);
       const bool drains = row != known_.end() && row->second.entry.availability == Availability::draining;
@@ -38,18 +38,18 @@
   void take(Instant now, const std::vector<Order>& orders) {
     std::map<ProxyId, double> message;
     for (const auto& order : orders) {
-      if (const auto* line = std::get_if<SetLine>(&order)) {
+      if (const auto* line = std::get_if<SetWeight>(&order)) {
         if (line->weight > 0) {
           tables_[line->table][line->backend] = line->weight;
         } else {
           tables_[line->table].erase(line->backend);
         }
         for (const auto& [p, table] : bound_) message[p] += table == line->table ? 1 : 0;
-      } else if (const auto* level = std::get_if<SetLevel>(&order)) {
+      } else if (const auto* level = std::get_if<SetAdmission>(&order)) {
         ++levels_;
         EXPECT_TRUE(s_.operations.at(level->operation.value).effect == Effect::idempotent ||
-                    level->tries <= FurtherTries::after_proof);
-        EXPECT_GE(level->level, 0);
+                    level->retries <= RetryPolicy::if_unprocessed);
+        EXPECT_GE(level->limit, 0);
         for (const auto& [p, table] : bound_) message[p] += table == level->table ? 1 : 0;
       } else if (const auto* bind = std::get_if<BindProxy>(&order)) {
         EXPECT_TRUE(joined_.contains(bind->proxy));
@@ -123,26 +123,26 @@
 void play(std::uint32_t seed, Size size) {
   std::mt19937 dice{seed};
   const auto roll = [&](int n) { return static_cast<int>(std::uniform_int_distribution<>{0, n - 1}(dice)); };
-  Settings s = settings(static_cast<LevelKind>(seed % 3));
+  Settings s = settings(static_cast<AdmissionMode>(seed % 3));
   s.messages_most = seed % 4 == 0 ? 30 : 0;
   s.removal_binds = seed % 2 == 0;
   s.proxies = size.proxies;
   s.push_rate = s.backlog = 200.0 * size.proxies;
-  s.intake = 4.0 * size.proxies;
+  s.max_report_rate = 4.0 * size.proxies;
   Policy policy{s, seed};
   Model model{s};
   Instant now = Instant::at_seconds(50);
-  std::map<BackendId, Listed::Entry> fleet;
+  std::map<BackendId, BackendListUpdate::Entry> fleet;
   std::set<ProxyId> present;
   for (unsigned k = 0; k < size.backends; ++k)
     fleet[BackendId{k}] = {BackendId{k}, ZoneId{static_cast<std::uint16_t>(k % 3)}, {}, 1.0 + k % 2, {}};
   const auto whole = [&](ListScope scope) {
-    Listed l{scope, {}};
+    BackendListUpdate l{scope, {}};
     for (const auto& [id, e] : fleet) l.entries.push_back(e);
     return l;
   };
-  std::vector<Event> events{whole(ListScope::remembered)};
-  model.learn(now, whole(ListScope::remembered));
+  std::vector<Event> events{whole(ListScope::cached)};
+  model.learn(now, whole(ListScope::cached));
   for (int step = 0; step < size.steps; ++step) {
     if (roll(4) == 0) {  // one proxy, or a storm of all of them
       for (std::uint16_t p = 0; p < size.proxies; ++p) {
@@ -160,7 +160,7 @@
     if (roll(12) == 0) {  // one backend, or many at once; a fifth are never touched
       const bool many = roll(6) == 0;
       const int blow = roll(3);
-      Listed change{ListScope::changes, {}};
+      BackendListUpdate change{ListScope::delta, {}};
       for (unsigned k = 0; k < size.backends; ++k) {
         if (k % 5 == 0 ||
             (many ? roll(3) == 0 : k != static_cast<unsigned>(roll(static_cast<int>(size.backends)))))
@@ -190,7 +190,7 @@
       policy = Policy{s, seed + 1};
       model.restart(), present.clear();
       std::erase_if(fleet, [](const auto& row) { return row.second.availability == Availability::gone; });
-      events = {whole(ListScope::remembered)};
+      events = {whole(ListScope::cached)};
     }
     model.take(now, policy.handle(now, events));
     events = {TimerFired{}};
--- a/tests/runtime_api/driver_test.cpp
+++ b/tests/runtime_api/driver_test.cpp
@@ -14,22 +14,22 @@
 namespace gorsemount::runtime_api {
 namespace {
 
-using coordinator::WantedLine;
-using coordinator::WantedTable;
+using coordinator::DesiredLine;
+using coordinator::DesiredTable;
 using standins::Forwarder;
 using standins::TroubleKind;
 
-std::shared_ptr<WantedTable> table(std::uint64_t version, std::vector<double> weights) {
-  auto t = std::make_shared<WantedTable>();
+std::shared_ptr<DesiredTable> table(std::uint64_t version, std::vector<double> weights) {
+  auto t = std::make_shared<DesiredTable>();
   t->version = version;
-  t->parts.push_back({"read", {}, {}, -1});
+  t->operations.push_back({"read", {}, {}, -1});
   for (std::size_t k = 0; k < weights.size(); ++k) {
     const std::string name = "w" + std::to_string(k);
-    t->known.push_back(name);
+    t->known_backends.push_back(name);
     if (weights[k] > 0)
-      t->parts[0].lines.push_back({BackendId{static_cast<std::uint32_t>(k)}, name,
-                                   *Endpoint::parse("127.6.0." + std::to_string(k + 1) + ":9000"), weights[k],
-                                   false});
+      t->operations[0].lines.push_back({BackendId{static_cast<std::uint32_t>(k)}, name,
+                                        *Endpoint::parse("127.6.0." + std::to_string(k + 1) + ":9000"),
+                                        weights[k], false});
   }
   return t;
 }
@@ -82,7 +82,7 @@
     loop.after(Span::seconds(s), [this] { loop.stop(); });
     loop.run();
   }
-  void deliver(std::shared_ptr<WantedTable> t) {
+  void deliver(std::shared_ptr<DesiredTable> t) {
     wanted = std::move(t);
     for (std::size_t k = 0; k < forwarders.size(); ++k)
       driver->deliver(ProxyId{static_cast<std::uint16_t>(30000 + k)}, wanted);
@@ -122,7 +122,7 @@
   standins::Recorder recorder;
   std::vector<std::unique_ptr<Forwarder>> forwarders;
   std::shared_ptr<net::Connection> peer;
-  std::shared_ptr<WantedTable> wanted;
+  std::shared_ptr<DesiredTable> wanted;
   std::unique_ptr<Driver> driver;
   std::map<std::string, int> events;
   std::map<ProxyId, std::uint64_t> holds;
@@ -297,7 +297,8 @@
   }
   s.run(0.5);
   const auto held = s.seen(0);
-  for (const auto& line : s.wanted->parts[0].lines) EXPECT_GT(held.lines.at({"read", line.name}).picked(), 0);
+  for (const auto& line : s.wanted->operations[0].lines)
+    EXPECT_GT(held.lines.at({"read", line.name}).picked(), 0);
 }
 
 // Two controllers that both believe to lead: the forwarder obeys the later one. Without its fence the auditor
@@ -404,9 +405,9 @@
 struct Desk : ::testing::Test {
   Desk()
       : operators{rig.core,
-                  [this](const coordinator::PersonOrders& o) {
+                  [this](const coordinator::OperatorCommand& o) {
                     const auto e = rig.step({o});
-                    return e.answers.empty() ? "" : e.answers.back();
+                    return e.command_results.empty() ? "" : e.command_results.back();
                   },
                   [] { return std::vector<Driver::Status>{}; }, "a-secret-of-sixteen"} {
     rig.seconds(4);
@@ -468,12 +469,12 @@
 }
 
 TEST_F(Desk, APersonsDrainDuringAnAutomaticOne) {
-  for (unsigned k = 0; k < 12; k += 3) rig.made[k].error_part = 0.9;  // zone a goes bad by itself
+  for (unsigned k = 0; k < 12; k += 3) rig.workers[k].error_part = 0.9;  // zone a goes bad by itself
   rig.seconds(3);
   EXPECT_EQ(ask("drain zone a"), "");
   rig.seconds(6);
   for (unsigned k = 0; k < 12; k += 3) EXPECT_EQ(rig.weight(0, k), 0);
-  for (unsigned k = 0; k < 12; k += 3) rig.made[k].error_part = 0;
+  for (unsigned k = 0; k < 12; k += 3) rig.workers[k].error_part = 0;
   rig.seconds(20);
   for (unsigned k = 0; k < 12; k += 3)
     EXPECT_EQ(rig.weight(0, k), 0) << "well again, but a person's order stands";
@@ -484,10 +485,10 @@
 
 TEST_F(Desk, HoldFreezesAllButWhatRulesForce) {
   EXPECT_EQ(ask("hold"), "");
-  rig.made[1].error_part = 0.9;
+  rig.workers[1].error_part = 0.9;
   auto roster = rig.roster;
   roster[2].availability = Availability::draining;
-  rig.step({coordinator::RosterHeard{roster}});
+  rig.step({coordinator::RosterUpdate{roster}});
   rig.seconds(5);
   EXPECT_EQ(rig.weight(0, 1), 1) << "a decision, held";
   EXPECT_EQ(rig.weight(0, 2), 0) << "rule 3";
@@ -507,31 +508,32 @@
 
 // One set of inputs, both fronts: the shares are the same, but for the rounding to whole weights.
 TEST(Fronts, PublishTheSameShares) {
-  auto s = coordinator::some_settings();
+  auto s = coordinator::test_settings();
   s.forwarders = {{"f", ZoneId{0}, {}, 20}};
   coordinator::Rig rig{12, s};
-  std::shared_ptr<const WantedTable> held;
+  std::shared_ptr<const DesiredTable> held;
   const auto play = [&](double length) {
     for (double t = 0; t < length; t += 0.1) {
       rig.seconds(0.1);
       for (const auto& d :
-           rig.step({coordinator::ForwarderJoined{ProxyId{coordinator::kFirstForwarder}}}).deliveries)
+           rig.step({coordinator::ForwarderJoined{ProxyId{coordinator::kFirstForwarderId}}}).deliveries)
         held = d.table;
       for (const auto& d : rig.deliveries) held = d.table;
       rig.deliveries.clear();
     }
   };
   play(4);
-  rig.made[4].down = true, rig.made[7].error_part = 0.9;
+  rig.workers[4].down = true, rig.workers[7].error_part = 0.9;
   rig.restart(2, "second");
   for (int moment = 0; moment < 8; ++moment) {
     play(1);
     ASSERT_TRUE(held);
-    const auto numbers = forwarders::whole_weights(held->parts[0].lines);
+    const auto numbers = forwarders::whole_weights(held->operations[0].lines);
     double sum = 0;
     for (const int n : numbers) sum += n;
     std::map<std::string, double> part;
-    for (std::size_t k = 0; k < numbers.size(); ++k) part[held->parts[0].lines[k].name] = numbers[k] / sum;
+    for (std::size_t k = 0; k < numbers.size(); ++k)
+      part[held->operations[0].lines[k].name] = numbers[k] / sum;
     for (unsigned k = 0; k < 12; ++k)
       EXPECT_NEAR(part["w" + std::to_string(k)], rig.weight(0, k) / rig.total(0), 0.004)
           << "moment " << moment << " worker " << k;
@@ -541,21 +543,21 @@
 // Forwarders of two zones contradict each other about a third's workers: the way is to blame, not the
 // workers.
 TEST(Fronts, ContradictingReportsAreAnsweredByTheLink) {
-  auto s = coordinator::some_settings();
+  auto s = coordinator::test_settings();
   s.groups.resize(1), s.groups[0].name = "elsewhere", s.groups[0].sources.clear();
   for (std::uint16_t k = 0; k < 4; ++k)
     s.forwarders.push_back({"f" + std::to_string(k), ZoneId{static_cast<std::uint16_t>(k % 2)}, {}, 60});
   coordinator::Rig rig{12, s};
   rig.rate = 0;
-  std::map<ProxyId, std::shared_ptr<const WantedTable>> held;
+  std::map<ProxyId, std::shared_ptr<const DesiredTable>> held;
   for (int round = 0; round < 24; ++round) {
     std::vector<coordinator::Input> inputs;
     for (std::uint16_t k = 0; k < 4; ++k) {
-      const ProxyId id{static_cast<std::uint16_t>(coordinator::kFirstForwarder + k)};
+      const ProxyId id{static_cast<std::uint16_t>(coordinator::kFirstForwarderId + k)};
       inputs.emplace_back(coordinator::ForwarderJoined{id});
-      coordinator::ForwarderMet met{id, {}, {{OperationId{0}, 30}}};
+      coordinator::ForwarderReport met{id, {}, {{OperationId{0}, 30}}};
       for (unsigned w = 0; w < 12; ++w)
-        met.rows.push_back({*rig.core.id_of("w" + std::to_string(w)), OperationId{0}, 8,
+        met.rows.push_back({*rig.core.backend_id("w" + std::to_string(w)), OperationId{0}, 8,
                             k % 2 == 0 && w % 3 == 2 && round > 8 ? 8 : 0, Span::seconds(0.2)});
       inputs.emplace_back(std::move(met));
     }
@@ -567,7 +569,7 @@
   const auto lines_of_c = [&](std::uint16_t k) {
     std::size_t n = 0;
     for (const auto& line :
-         held[ProxyId{static_cast<std::uint16_t>(coordinator::kFirstForwarder + k)}]->parts[0].lines)
+         held[ProxyId{static_cast<std::uint16_t>(coordinator::kFirstForwarderId + k)}]->operations[0].lines)
       n += std::stoi(line.name.substr(1)) % 3 == 2;
     return n;
   };
@@ -577,7 +579,7 @@
 
 // 150 forwarders that join at once: the channel and the cap on messages hold, and all are led in the end.
 TEST(Fronts, AStormOfJoinsKeepsTheChannel) {
-  auto s = coordinator::some_settings();
+  auto s = coordinator::test_settings();
   s.backlog = 1500, s.lines_per_second = 1500, s.messages_most = 30;
   for (int k = 0; k < 150; ++k)
     s.forwarders.push_back({"f" + std::to_string(k), ZoneId{static_cast<std::uint16_t>(k % 3)}, {}, 5});
@@ -586,7 +588,7 @@
   for (int storm = 0; storm < 2; ++storm) {
     std::vector<coordinator::Input> joins;
     for (std::uint16_t k = 0; k < 150; ++k) {
-      const ProxyId id{static_cast<std::uint16_t>(coordinator::kFirstForwarder + k)};
+      const ProxyId id{static_cast<std::uint16_t>(coordinator::kFirstForwarderId + k)};
       joins.emplace_back(coordinator::ForwarderLeft{id});
       joins.emplace_back(coordinator::ForwarderJoined{id});
     }
@@ -599,7 +601,7 @@
     }
     EXPECT_EQ(led.size(), 150U);
   }
-  EXPECT_LE(rig.core.counters().most_waiting, 1500);
+  EXPECT_LE(rig.core.counters().peak_backlog, 1500);
 }
 
 }  // namespace
--- a/tests/spill/spill_test.cpp
+++ b/tests/spillover/spillover_planner_test.cpp
@@ -1,6 +1,6 @@
 // Tiers, spill and return: the flows are the best there are, a zone's loss moves no more than it must, a
 // return is paced, a zone that flaps is held.
-#include "spill/spill.hpp"
+#include "spillover/spillover_planner.hpp"
 
 #include <gtest/gtest.h>
 
@@ -8,15 +8,16 @@
 #include <cstdio>
 #include <random>
 
-namespace gorsemount::spill {
+namespace gorsemount::spillover {
 namespace {
 
 // Whole invocations, all of cost 1: every way to place them, to compare with.
 struct Best {
   double lost = 1e18, crossings = 1e18, change = 1e18;
 };
-void place(const Problem& p, std::size_t unit, const std::vector<std::pair<std::size_t, std::size_t>>& units,
-           std::vector<std::vector<int>>& flow, std::vector<int>& used, double lost, Best& best) {
+void place(const FlowProblem& p, std::size_t unit,
+           const std::vector<std::pair<std::size_t, std::size_t>>& units, std::vector<std::vector<int>>& flow,
+           std::vector<int>& used, double lost, Best& best) {
   if (unit == units.size()) {
     double crossings = 0, change = 0;
     for (std::size_t z = 0; z < flow.size(); ++z)
@@ -29,7 +30,7 @@
     return;
   }
   const auto [c, z] = units[unit];
-  place(p, unit + 1, units, flow, used, lost + p.classes[c].value, best);
+  place(p, unit + 1, units, flow, used, lost + p.operations[c].value, best);
   for (std::size_t b = 0; b < used.size(); ++b) {
     if (p.tier[z][b] < 0 || used[b] + 1 > p.capacity[b]) continue;
     ++used[b], ++flow[z][b];
@@ -41,7 +42,7 @@
 TEST(Flows, AreAsGoodAsTheBestOfAllWays) {
   std::mt19937 chance{5};
   for (int round = 0; round < 150; ++round) {
-    Problem p;
+    FlowProblem p;
     p.tier = {{0, 1, 2}, {1, 0, 1}};
     if (round % 5 == 0) p.tier[0][1] = -1;
     p.capacity = {static_cast<double>(chance() % 4), static_cast<double>(chance() % 4),
@@ -52,10 +53,10 @@
               static_cast<double>(chance() % 3)}};
     std::vector<std::pair<std::size_t, std::size_t>> units;
     for (std::size_t c = 0; c < 2; ++c) {
-      p.classes.push_back(
+      p.operations.push_back(
           {c == 0 ? 1.0 : 3.0, 1, {static_cast<double>(chance() % 3), static_cast<double>(chance() % 3)}});
       for (std::size_t z = 0; z < 2; ++z)
-        for (int n = 0; n < p.classes[c].demand[z]; ++n) units.emplace_back(c, z);
+        for (int n = 0; n < p.operations[c].demand[z]; ++n) units.emplace_back(c, z);
     }
     Best best;
     std::vector<std::vector<int>> flow(2, std::vector<int>(3, 0));
@@ -72,14 +73,14 @@
 TEST(Flows, InStrainTheFullestZoneIsAsLittleOverItsPartAsCanBe) {
   std::mt19937 chance{6};
   for (int round = 0; round < 100; ++round) {
-    Problem p;
+    FlowProblem p;
     p.tier = {{0, 1, 2}, {1, 0, 1}};
     if (round % 4 == 0) p.tier[1][2] = -1;
     p.capacity = {1, 1, 1};
     for (int b = 0; b < 3; ++b) p.even.push_back(0.1 + static_cast<double>(chance() % 10) / 10);
     if (round % 2 == 0) p.now = {{2, 1, 0}, {0, 2, 1}};
-    p.classes = {{1, 1, {static_cast<double>(chance() % 5), static_cast<double>(chance() % 5)}}};
-    const auto demand = p.classes[0].demand;
+    p.operations = {{1, 1, {static_cast<double>(chance() % 5), static_cast<double>(chance() % 5)}}};
+    const auto demand = p.operations[0].demand;
     double best = 1e18;
     const int n0 = static_cast<int>(demand[0]), n1 = static_cast<int>(demand[1]);
     for (int a = 0; a <= n0; ++a)
@@ -109,10 +110,10 @@
 }
 
 TEST(Flows, PlaceOrderIsLostLast) {
-  Problem p;
+  FlowProblem p;
   p.tier = {{0}};
   p.capacity = {50};
-  p.classes = {{1, 1, {60}}, {3, 1, {40}}};
+  p.operations = {{1, 1, {60}}, {3, 1, {40}}};
   const auto s = solve(p);
   EXPECT_NEAR(s.admitted[1][0], 1, 1e-6);
   EXPECT_NEAR(s.admitted[0][0], 10.0 / 60, 1e-6);
@@ -124,18 +125,19 @@
 class Fleet {
  public:
   Fleet() : spill{std::vector<std::vector<int>>{{0, 1, 2}, {1, 0, 1}, {2, 1, 0}}} {}
-  Spill::Decision round() {
+  SpilloverPlanner::Decision round() {
     now += 0.5;
-    std::vector<ZoneNow> zones(3);
+    std::vector<ZoneSample> zones(3);
     std::vector<double> load(3, 0);
     for (std::size_t a = 0; a < 3; ++a)
-      for (std::size_t b = 0; b < 3; ++b) load[b] += last.parts.empty() ? 100.0 / 3 : last.parts[a][b] * 100;
+      for (std::size_t b = 0; b < 3; ++b)
+        load[b] += last.shares.empty() ? 100.0 / 3 : last.shares[a][b] * 100;
     for (std::size_t b = 0; b < 3; ++b) {
       const double able = 150 * weight[b];
       zones[b] = {weight[b] * 100, 100, std::min(load[b], able),
                   able > 0 ? std::min(1.0, load[b] / able) : 0};
     }
-    const auto before = last.parts;
+    const auto before = last.shares;
     last = spill.decide(at(now), zones, {{1, 1, {100, 100, 100}}}, {});
     if (!before.empty()) moved += last.moved;
     for (std::size_t b = 0; b < 3; ++b) most[b] = std::max(most[b], to(b));
@@ -143,14 +145,14 @@
   }
   [[nodiscard]] double to(std::size_t b) const {
     double sum = 0;
-    for (const auto& row : last.parts) sum += row[b] * 100;
+    for (const auto& row : last.shares) sum += row[b] * 100;
     return sum;
   }
   void rounds(int n) {
     for (int k = 0; k < n; ++k) round();
   }
-  Spill spill;
-  Spill::Decision last;
+  SpilloverPlanner spill;
+  SpilloverPlanner::Decision last;
   std::vector<double> weight{1, 1, 1}, most{0, 0, 0};
   double now = 0, moved = 0;
 };
@@ -158,7 +160,7 @@
 TEST(Spill, InQuietTimesEachZoneKeepsItsOwn) {
   Fleet f;
   f.rounds(20);
-  for (std::size_t z = 0; z < 3; ++z) EXPECT_GT(f.last.parts[z][z], 0.95) << z;
+  for (std::size_t z = 0; z < 3; ++z) EXPECT_GT(f.last.shares[z][z], 0.95) << z;
 }
 
 TEST(Spill, ALostZonesWorkLeavesAtOnceAndNoneIsAskedForMoreThanItHasShown) {
@@ -172,7 +174,7 @@
   // Together they have shown 270 with the margin; the rest is for the levels to turn away.
   for (const std::size_t b : {1U, 2U}) {
     double let_in = 0;
-    for (std::size_t a = 0; a < 3; ++a) let_in += 100 * f.last.admitted[0][a] * f.last.parts[a][b];
+    for (std::size_t a = 0; a < 3; ++a) let_in += 100 * f.last.admitted[0][a] * f.last.shares[a][b];
     EXPECT_LE(let_in, 150) << b;
   }
 }
@@ -245,46 +247,46 @@
 TEST(Spill, AZoneThatCantBeReachedFromOneOtherGetsNothingFromThereAndAllElse) {
   Fleet f;
   f.rounds(20);
-  std::vector<ZoneNow> zones(3, ZoneNow{100, 100, 100, 0.66});
+  std::vector<ZoneSample> zones(3, ZoneSample{100, 100, 100, 0.66});
   for (int k = 0; k < 20; ++k)
     f.last = f.spill.decide(at(f.now += 0.5), zones, {{1, 1, {100, 100, 100}}}, {}, {{1, 0}});
-  EXPECT_LT(f.last.parts[1][0], 1e-6);
-  EXPECT_GT(f.last.parts[0][0], 0.9);
-  EXPECT_GT(f.last.parts[2][0], 0.01);
+  EXPECT_LT(f.last.shares[1][0], 1e-6);
+  EXPECT_GT(f.last.shares[0][0], 0.9);
+  EXPECT_GT(f.last.shares[2][0], 0.01);
 }
 
 // Half of the true use told makes a zone look twice as able: it must not draw the others' work.
 TEST(Spill, AZoneThatTellsHalfOfItsUseIsNotBelieved) {
-  Spill spill{{{0, 1, 2}, {1, 0, 1}, {2, 1, 0}}};
+  SpilloverPlanner spill{{{0, 1, 2}, {1, 0, 1}, {2, 1, 0}}};
   for (int k = 0; k < 30; ++k) {
-    std::vector<ZoneNow> zones(3, ZoneNow{100, 100, 100, 0.66});
-    zones[1].pressure = 0.33;
+    std::vector<ZoneSample> zones(3, ZoneSample{100, 100, 100, 0.66});
+    zones[1].cpu_utilization = 0.33;
     static_cast<void>(spill.decide(at(0.5 * k), zones, {{1, 1, {105, 105, 105}}}, {}));
   }
   EXPECT_LT(*spill.capacity(1), 1.11 * *spill.capacity(0));
   EXPECT_NEAR(*spill.capacity(0), *spill.capacity(2), 1e-9);
   // 315 where two zones hold 302 with their margins.
-  EXPECT_FALSE(spill.room_without(0));
+  EXPECT_FALSE(spill.has_capacity_without(0));
 }
 
 TEST(Spill, LinesOfAZoneThatIsOnlyToTurnToCarryItsTier) {
   Fleet f;
   f.rounds(40);
-  EXPECT_EQ(f.last.turn_to[0], (std::vector<int>{0, 1, 2}));
-  EXPECT_EQ(f.last.turn_to[1], (std::vector<int>{1, 0, 1}));
+  EXPECT_EQ(f.last.failover_tier[0], (std::vector<int>{0, 1, 2}));
+  EXPECT_EQ(f.last.failover_tier[1], (std::vector<int>{1, 0, 1}));
   f.weight[0] = 0;
   f.rounds(4);
-  EXPECT_EQ(f.last.turn_to[0][1], 0) << "now work is meant to go there";
+  EXPECT_EQ(f.last.failover_tier[0][1], 0) << "now work is meant to go there";
 }
 
 TEST(Spill, TiersThatTripsContradictAreDoubtedAndStand) {
   Fleet f;
-  std::vector<ZoneNow> zones(3, ZoneNow{100, 100, 50, 0.4});
+  std::vector<ZoneSample> zones(3, ZoneSample{100, 100, 50, 0.4});
   const auto d = f.spill.decide(at(1), zones, {{1, 1, {10, 10, 10}}},
                                 {{{0, 1}, Span::seconds(0.02)}, {{0, 2}, Span::seconds(0.001)}});
-  EXPECT_TRUE(d.tiers_doubted[0]);
-  EXPECT_FALSE(d.tiers_doubted[1]);
+  EXPECT_TRUE(d.tier_mismatch[0]);
+  EXPECT_FALSE(d.tier_mismatch[1]);
 }
 
 }  // namespace
-}  // namespace gorsemount::spill
+}  // namespace gorsemount::spillover
--- a/tests/store/store_test.cpp
+++ b/tests/store/store_test.cpp
@@ -14,15 +14,15 @@
 #include <thread>
 
 #include "net/loop.hpp"
-#include "recovery/belief.hpp"
-#include "store/keeper.hpp"
+#include "recovery/fact_confidence.hpp"
+#include "store/store_writer.hpp"
 
 namespace gorsemount::store {
 namespace {
 
-using recovery::Clocks;
+using recovery::ClockReading;
 using recovery::Entry;
-using recovery::Kind;
+using recovery::FactKind;
 
 // What is certain, and what was written since the last sync. A crash keeps any part of that, torn at any
 // byte, in any order; names likewise.
@@ -48,7 +48,7 @@
     files_[to] = files_[from], files_.erase(from);
     renames_.emplace_back(from, to);
   }
-  void sync_folder() override { op(), renames_.clear(); }
+  void sync_directory() override { op(), renames_.clear(); }
   void remove(const std::string& name) override { op(), files_.erase(name); }
   std::vector<std::string> list() override {
     std::vector<std::string> names;
@@ -112,7 +112,7 @@
   std::vector<std::pair<std::string, std::string>> renames_;
 };
 
-Clocks at(double s) {
+ClockReading at(double s) {
   return {"boot", static_cast<std::int64_t>(s * 1e6), static_cast<std::int64_t>((1e6 + s) * 1e6)};
 }
 Instant instant(double s) { return Instant::at_seconds(s); }
@@ -121,7 +121,7 @@
 std::vector<Entry> state(int n, std::uint64_t sequence) {
   std::vector<Entry> entries;
   for (int k = 0; k < 12; ++k)
-    entries.push_back({{Kind::zone_ladder, "zone-" + std::to_string(k)},
+    entries.push_back({{FactKind::zone_ladder, "zone-" + std::to_string(k)},
                        {"", {{"share", n}}, {{"next", instant(n + 5)}}},
                        instant(n),
                        ++sequence,
@@ -130,7 +130,7 @@
 }
 // The state that was read; -1: blank, -2: no state that ever was.
 int read_state(const Loaded& l) {
-  if (!l.blank.empty()) return -1;
+  if (!l.empty_reason.empty()) return -1;
   if (l.entries.size() != 12) return -2;
   const double n = l.entries[0].fact.figures.contains("share") ? l.entries[0].fact.figures.at("share") : -2;
   for (const auto& e : l.entries)
@@ -184,24 +184,24 @@
 
 TEST(Store, AtEveryCrashPointWhatIsReadWasWrittenAndIsNoOlderThanTheLastSync) {
   StoreSettings s;
-  s.who = "pwani-1";
+  s.owner = "pwani-1";
   const auto [never, older] = damage(s, false, 60);
   EXPECT_EQ(never, 0);
   EXPECT_EQ(older, 0);
-  s.key = Key{1, 2, 3};
+  s.key = MacKey{1, 2, 3};
   const auto [never_with_key, older_with_key] = damage(s, false, 20);
   EXPECT_EQ(never_with_key + older_with_key, 0);
 }
 
 TEST(Store, ABitThatFlippedIsNeverTrusted) {
   StoreSettings s;
-  s.who = "pwani-1";
+  s.owner = "pwani-1";
   EXPECT_EQ(damage(s, true, 60).first, 0);
 }
 
 TEST(Store, WithTheSyncOrTheChecksumOffTheDamageIsFound) {
   StoreSettings s;
-  s.who = "pwani-1", s.sync = false;
+  s.owner = "pwani-1", s.sync = false;
   EXPECT_GT(damage(s, false, 30).second, 0) << "what a sync had come back for is lost";
   s.sync = true, s.check = false;
   EXPECT_GT(damage(s, true, 60).first, 0) << "a state that never was";
@@ -209,7 +209,7 @@
 
 TEST(Store, ADiskThatIsFullEndsItAndWhatWasWrittenStays) {
   StoreSettings s;
-  s.who = "pwani-1";
+  s.owner = "pwani-1";
   SimDisk disk;
   disk.fail_at = 9;
   Story story;
@@ -220,33 +220,33 @@
 
 TEST(Store, AnothersFileAnOldOneAndOneOfAWrongClockAreNotTakenForFresh) {
   StoreSettings s;
-  s.who = "pwani-1";
+  s.owner = "pwani-1";
   SimDisk disk;
   Story story;
   live(disk, s, story);
   StoreSettings other = s;
-  other.who = "pwani-2";
-  EXPECT_NE(load(disk, other, at(9)).blank, "");
+  other.owner = "pwani-2";
+  EXPECT_NE(load(disk, other, at(9)).empty_reason, "");
   StoreSettings keyed = s;
-  keyed.key = Key{9};
-  EXPECT_NE(load(disk, keyed, at(9)).blank, "") << "a key is configured, and the file has no MAC";
+  keyed.key = MacKey{9};
+  EXPECT_NE(load(disk, keyed, at(9)).empty_reason, "") << "a key is configured, and the file has no MAC";
   // A week and another boot later.
-  Clocks later{"another", 5'000'000, at(0).wall + 7LL * 86400 * 1'000'000};
+  ClockReading later{"another", 5'000'000, at(0).wall_us + 7LL * 86400 * 1'000'000};
   const auto week = load(disk, s, later);
-  ASSERT_TRUE(week.confirmed);
-  const auto believed =
-      recovery::believe(week.entries, *week.confirmed, Instant{} + Span::micros(later.mono));
-  EXPECT_TRUE(believed.acts.empty());
+  ASSERT_TRUE(week.confirmed_at);
+  const auto believed = recovery::select_trusted(week.entries, *week.confirmed_at,
+                                                 Instant{} + Span::micros(later.monotonic_us));
+  EXPECT_TRUE(believed.applicable.empty());
   // The wall clock stands before the moment of writing: nobody can tell the age.
-  const auto back = load(disk, s, {"another", 5'000'000, at(0).wall - 3'600'000'000});
-  EXPECT_FALSE(back.confirmed);
-  EXPECT_NE(back.age.doubt, "");
+  const auto back = load(disk, s, {"another", 5'000'000, at(0).wall_us - 3'600'000'000});
+  EXPECT_FALSE(back.confirmed_at);
+  EXPECT_NE(back.age.clock_anomaly, "");
   // Within one boot a moved wall clock changes nothing.
-  Clocks moved = at(12);
-  moved.wall += 86'400'000'000;
+  ClockReading moved = at(12);
+  moved.wall_us += 86'400'000'000;
   const auto same = load(disk, s, moved);
-  EXPECT_NEAR(same.age.span->seconds(), 4, 0.01);
-  EXPECT_NE(same.age.doubt, "");
+  EXPECT_NEAR(same.age.elapsed->seconds(), 4, 0.01);
+  EXPECT_NE(same.age.clock_anomaly, "");
   // Times come over to the reader's clock.
   EXPECT_EQ(load(disk, s, at(20)).entries[0].fact.times.at("next"), instant(13));
 }
@@ -255,7 +255,7 @@
   std::string text = (std::filesystem::temp_directory_path() / "gorsemount-store-XXXXXX").string();
   ASSERT_NE(mkdtemp(text.data()), nullptr);
   StoreSettings s;
-  s.who = "pwani-1", s.snapshot_after = 4096;
+  s.owner = "pwani-1", s.snapshot_threshold_bytes = 4096;
   std::mt19937 chance{17};
   int last = -1, seen = 0;
   for (int round = 0; round < 500; ++round) {
@@ -263,7 +263,7 @@
     ASSERT_EQ(pipe(ready), 0);
     const pid_t child = fork();
     if (child == 0) {
-      auto disk = open_folder(text);
+      auto disk = open_directory(text);
       Store store{*disk, s, at(0), state(0, 0)};
       for (int n = 1;; ++n) {
         store.write(at(n), state(n, static_cast<std::uint64_t>(n) * 12));
@@ -281,7 +281,7 @@
     int status = 0;
     waitpid(child, &status, 0);
     close(ready[0]);
-    const auto disk = open_folder(text, true);
+    const auto disk = open_directory(text, true);
     last = read_state(load(*disk, s, at(1e6)));
     ASSERT_GE(last, 0) << "round " << round;
     seen += last > 0 ? 1 : 0;
@@ -289,8 +289,8 @@
   EXPECT_EQ(seen, 500) << "each had written";
   EXPECT_THROW(
       {
-        const auto one = open_folder(text);
-        const auto two = open_folder(text);
+        const auto one = open_directory(text);
+        const auto two = open_directory(text);
       },
       DiskError);
   std::filesystem::remove_all(text);
@@ -309,8 +309,8 @@
   std::string text = (std::filesystem::temp_directory_path() / "gorsemount-verify-XXXXXX").string();
   ASSERT_NE(mkdtemp(text.data()), nullptr);
   StoreSettings s;
-  s.who = "pwani-1", s.key = Key{7};
-  auto disk = open_folder(text);
+  s.owner = "pwani-1", s.key = MacKey{7};
+  auto disk = open_directory(text);
   const std::string older = two_generations(*disk, s);
   ASSERT_FALSE(older.empty());
   const std::string good = disk->read(older);
@@ -326,7 +326,7 @@
     const std::size_t slice = 1 + chance() % 700;
     while (!slices.done()) slices.slice(slice);
     EXPECT_EQ(slices.result().fault, whole.result().fault) << round;
-    EXPECT_EQ(slices.result().good, whole.result().good);
+    EXPECT_EQ(slices.result().valid_bytes, whole.result().valid_bytes);
     EXPECT_EQ(slices.result().records, whole.result().records);
     if (round % 4 != 2) {
       EXPECT_EQ(whole.result().fault.empty(), round % 4 != 1) << whole.result().fault;
@@ -350,14 +350,14 @@
   void append(const std::string& name, std::string_view bytes) override { inner_->append(name, bytes); }
   void sync(const std::string& name) override { inner_->sync(name); }
   void rename(const std::string& from, const std::string& to) override { inner_->rename(from, to); }
-  void sync_folder() override { inner_->sync_folder(); }
+  void sync_directory() override { inner_->sync_directory(); }
   void remove(const std::string& name) override { inner_->remove(name); }
   std::vector<std::string> list() override { return inner_->list(); }
   std::string read(const std::string& name) override { return inner_->read(name); }
-  std::string read_part(const std::string& name, std::size_t from, std::size_t most) override {
+  std::string read_range(const std::string& name, std::size_t from, std::size_t most) override {
     if (hangs) hung = true;
     while (hangs) std::this_thread::sleep_for(std::chrono::milliseconds(1));
-    return inner_->read_part(name, from, most);
+    return inner_->read_range(name, from, most);
   }
   std::atomic<bool> hangs{true}, hung{false};
 
@@ -365,23 +365,23 @@
   std::unique_ptr<Disk> inner_;
 };
 
-TEST(Keeper, WritesOnWhileACheckHangs) {
+TEST(StoreWriter, WritesOnWhileACheckHangs) {
   std::string text = (std::filesystem::temp_directory_path() / "gorsemount-keeper-XXXXXX").string();
   ASSERT_NE(mkdtemp(text.data()), nullptr);
   StoreSettings s;
-  s.who = "pwani-1";
+  s.owner = "pwani-1";
   {
-    auto first = open_folder(text);
+    auto first = open_directory(text);
     two_generations(*first, s);
   }
   // Time runs a hundred times as fast for the tasks: a check is due within a second.
   const Instant begin = net::monotonic_now();
   const auto fast = [begin] { return Instant{} + (net::monotonic_now() - begin) * 100; };
-  background::Background background{fast};
-  auto disk = std::make_unique<HangsOnReading>(open_folder(text));
+  background::Executor background{fast};
+  auto disk = std::make_unique<HangsOnReading>(open_directory(text));
   HangsOnReading& held = *disk;
   {
-    Keeper keeper{
+    StoreWriter keeper{
         background,
         std::move(disk),
         s,
--- a/tests/streams/message_test.cpp
+++ b/tests/streams/message_test.cpp
@@ -124,15 +124,16 @@
 }
 
 TEST(Update, EqualLevelsShareTheLineOfTheWeights) {
-  const auto encoded = encode_update(update(
-      true, {{"s-1", 0.25}}, {{"a", FurtherTries::after_proof, 1e6}, {"b", FurtherTries::after_proof, 1e6}}));
+  const auto encoded = encode_update(
+      update(true, {{"s-1", 0.25}},
+             {{"a", RetryPolicy::if_unprocessed, 1e6}, {"b", RetryPolicy::if_unprocessed, 1e6}}));
   EXPECT_EQ(encoded.bytes, "update full=1 endpoints=s-1:0.25 admit=1000000 policy=1\r\n");
   EXPECT_EQ(encoded.line_count, 3U);
 }
 
 TEST(Update, DifferentLevelsAreFurtherPartsOfTheMessage) {
   const auto encoded = encode_update(
-      update(true, {{"s-1", 1}}, {{"a", FurtherTries::none, 0.5}, {"b", FurtherTries::after_proof, 2}}));
+      update(true, {{"s-1", 1}}, {{"a", RetryPolicy::none, 0.5}, {"b", RetryPolicy::if_unprocessed, 2}}));
   EXPECT_EQ(encoded.bytes,
             "update full=1 endpoints=s-1:1 continued=1\r\n"
             "update routes=a admit=0.5 policy=0 continued=1\r\n"
@@ -141,17 +142,16 @@
 }
 
 TEST(Update, LevelOfOneOperationNamesIt) {
-  EXPECT_EQ(encode_update(update(false, {}, {{"b", FurtherTries::one, 0.75}})).bytes,
+  EXPECT_EQ(encode_update(update(false, {}, {{"b", RetryPolicy::one, 0.75}})).bytes,
             "update routes=b admit=0.75 policy=2\r\n");
 }
 
 TEST(Update, SmallWeightIsNotARemovalAndNumbersHaveNoExponent) {
   EXPECT_EQ(encode_update(update(false, {{"s", 1e-9}, {"t", 1e-3}}, {})).bytes,
             "update endpoints=s:0.000001,t:0.001\r\n");
-  EXPECT_EQ(
-      encode_update(update(false, {}, {{"a", FurtherTries::none, 1e21}, {"b", FurtherTries::none, 1e21}}))
-          .bytes.find('e', 7),
-      std::string::npos);
+  EXPECT_EQ(encode_update(update(false, {}, {{"a", RetryPolicy::none, 1e21}, {"b", RetryPolicy::none, 1e21}}))
+                .bytes.find('e', 7),
+            std::string::npos);
 }
 
 }  // namespace
