--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -214,7 +214,7 @@
 // new call can get the same address.
 void Watch::retire(std::unique_ptr<Call>& call) {
   loop_.cancel(call->deadline);
-  loop_.soon([retired = std::shared_ptr<Call>{std::move(call)}] {});
+  loop_.call_soon([retired = std::shared_ptr<Call>{std::move(call)}] {});
 }
 
 void Watch::end_call(Call& call, const std::string& reason) {
@@ -223,7 +223,7 @@
   retire(was_established ? established_ : pending_);
   if (was_established && pending_) return;  // the pending call decides
   if (!was_established && established_) return start_after_delay();
-  loop_.soon([this, alive = alive_, reason] {
+  loop_.call_soon([this, alive = alive_, reason] {
     if (*alive && !pending_ && !established_) callbacks_.on_failure(reason);
   });
 }
