--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -93,7 +93,7 @@
   }
   std::size_t body_most;
   std::optional<http::parser<Kind<Message>::request, http::string_body>> wire;
-  std::string fault;
+  std::string error;
 };
 
 template <class Message>
@@ -107,12 +107,12 @@
 
 template <class Message>
 std::size_t HttpReader<Message>::feed(std::string_view bytes) {
-  return feed_parser(*parser_->wire, parser_->fault, bytes);
+  return feed_parser(*parser_->wire, parser_->error, bytes);
 }
 
 template <class Message>
 std::optional<Message> HttpReader<Message>::take() {
-  if (!parser_->fault.empty() || !parser_->wire->is_done()) return {};
+  if (!parser_->error.empty() || !parser_->wire->is_done()) return {};
   Message out;
   Kind<Message>::copy(out, parser_->wire->release());
   parser_->fresh();
@@ -120,8 +120,8 @@
 }
 
 template <class Message>
-const std::string& HttpReader<Message>::fault() const {
-  return parser_->fault;
+const std::string& HttpReader<Message>::error() const {
+  return parser_->error;
 }
 
 template <class Message>
@@ -189,8 +189,8 @@
     return 0;
   }
   const std::size_t used = reader_.feed(bytes);
-  if (!reader_.fault().empty()) {
-    end(Outcome::garbled, reader_.fault());
+  if (!reader_.error().empty()) {
+    end(Outcome::garbled, reader_.error());
     return 0;
   }
   if (auto response = reader_.take()) {
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -43,7 +43,7 @@
   HttpReader& operator=(HttpReader&&) noexcept;
   std::size_t feed(std::string_view bytes);
   [[nodiscard]] std::optional<Message> take();     // the message, once whole
-  [[nodiscard]] const std::string& fault() const;  // not empty: the peer does not speak HTTP
+  [[nodiscard]] const std::string& error() const;  // not empty: the peer does not speak HTTP
   // The peer closed; true if that ends a message whole.
   bool end();
 
