--- a/src/app/audit_log.cpp
+++ b/src/app/audit_log.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-std::int64_t micros_now() { return (net::monotonic_now() - Instant{}).micros(); }
+std::int64_t monotonic_micros() { return (net::monotonic_now() - Instant{}).micros(); }
 
 }  // namespace
 
@@ -19,24 +19,24 @@
   if (file.empty()) return;
   file_.reset(std::fopen(file.c_str(), "ae"));
   if (!file_) throw std::system_error{errno, std::generic_category(), "records file " + file};
-  std::setvbuf(file_.get(), nullptr, _IOLBF, 4096);  // whole lines, whenever the process is killed
+  std::setvbuf(file_.get(), nullptr, _IOLBF, 4096);  // line-buffered: a kill leaves only complete lines
   fmt::print(file_.get(), "{{\"t\":{},\"what\":\"coordinator_start\",\"coordinator\":\"{}\"}}\n",
-             micros_now(), coordinator_);
+             monotonic_micros(), coordinator_);
 }
 
-void AuditLog::message(const coordinator::Message& m) {
+void AuditLog::message(const coordinator::Message& message) {
   if (!file_) return;
   fmt::print(file_.get(),
              "{{\"t\":{},\"what\":\"message\",\"coordinator\":\"{}\",\"group\":{},\"lines\":{}}}\n",
-             micros_now(), coordinator_, m.group.value, m.lines);
+             monotonic_micros(), coordinator_, message.group.value, message.lines);
 }
 
-void AuditLog::in_force(ProxyId forwarder, std::uint64_t version, Span took, std::size_t changes) {
+void AuditLog::table_applied(ProxyId forwarder, std::uint64_t version, Span latency, std::size_t changes) {
   if (!file_) return;
   fmt::print(file_.get(),
              "{{\"t\":{},\"what\":\"in_force\",\"coordinator\":\"{}\",\"forwarder\":{},\"version\":{},"
              "\"took\":{},\"changes\":{}}}\n",
-             micros_now(), coordinator_, forwarder.value, version, took.seconds(), changes);
+             monotonic_micros(), coordinator_, forwarder.value, version, latency.seconds(), changes);
 }
 
 }  // namespace gorsemount::app
--- a/src/app/audit_log.hpp
+++ b/src/app/audit_log.hpp
@@ -1,4 +1,4 @@
-// What the coordinator sent, for an auditor: JSON lines with the monotonic time in microseconds.
+// Log of what the coordinator sent, read by the auditor: JSON lines with monotonic time in microseconds.
 #pragma once
 
 #include <cstdio>
@@ -11,10 +11,11 @@
 
 class AuditLog {
  public:
-  AuditLog(const std::string& file, std::string coordinator);  // none if empty; throws std::system_error
+  AuditLog(const std::string& file,
+           std::string coordinator);  // disabled if `file` is empty; throws std::system_error
   void message(const coordinator::Message& message);
-  // A forwarder holds a version, so long after it was handed over.
-  void in_force(ProxyId forwarder, std::uint64_t version, Span took, std::size_t changes);
+  // A forwarder has applied a table version, `latency` after it was delivered.
+  void table_applied(ProxyId forwarder, std::uint64_t version, Span latency, std::size_t changes);
 
  private:
   struct Close {
--- a/src/app/commands.hpp
+++ b/src/app/commands.hpp
@@ -1,4 +1,4 @@
-// The program's other subcommands.
+// The subcommands other than `coordinator`.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -6,7 +6,8 @@
 
 namespace gorsemount::app {
 
-// Returns what must live until the command line is read and the command has run. `code`: what it returned.
-[[nodiscard]] std::shared_ptr<void> add_commands(CLI::App& app, int& code);
+// Registers the subcommands on `app`. The returned object holds the options that the parser writes to and
+// must outlive parsing and the command itself. `exit_code` receives the command's result.
+[[nodiscard]] std::shared_ptr<void> add_commands(CLI::App& app, int& exit_code);
 
 }  // namespace gorsemount::app
--- a/src/app/coordinator.cpp
+++ b/src/app/coordinator.cpp
@@ -21,34 +21,35 @@
 
 namespace {
 
-const Span kLogStateEvery = Span::seconds(1);
+const Span kStateLogInterval = Span::seconds(1);
 
 std::optional<std::string> environment(const char* name) {
   const char* value = std::getenv(name);
   return value == nullptr ? std::nullopt : std::optional<std::string>{value};
 }
 
-// Where Unix time 0 lies on the monotonic clock: one offset for the whole life, so that a start keeps its
-// place.
-Instant unix_zero() {
-  const auto since = std::chrono::system_clock::now().time_since_epoch();
+// Unix time 0 on the monotonic clock. The offset is read once per process, so that later wall-clock
+// adjustments don't move backend start times.
+Instant unix_epoch() {
+  const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
   return net::monotonic_now() -
-         Span::micros(std::chrono::duration_cast<std::chrono::microseconds>(since).count());
+         Span::micros(std::chrono::duration_cast<std::chrono::microseconds>(since_epoch).count());
 }
 
-const Span kShutDownWithin = Span::seconds(0.3);  // the platform kills after 0.7 s
+const Span kShutdownTimeout = Span::seconds(0.3);  // the platform sends SIGKILL 0.7 s after SIGTERM
 
-// Descriptors for the connections that come to the gate; the rest is for epoll, signals, the listener and its
-// reserve, logs, and discovery's calls, which must stand however many proxies come.
-std::size_t descriptors_for_peers(const CoordinatorConfig& c) {
-  constexpr std::size_t own = 24;
-  return c.sockets > 2 * own ? c.sockets - own : own;
+// Connections that the stream server may hold. The remaining descriptors are reserved for epoll, signals, the
+// listener and its spare, logs and the discovery calls, which must work however many proxies connect.
+std::size_t max_stream_connections(const CoordinatorConfig& config) {
+  constexpr std::size_t reserved = 24;
+  return config.max_sockets > 2 * reserved ? config.max_sockets - reserved : reserved;
 }
-constexpr std::size_t kPendingMost = 512;
+constexpr std::size_t kMaxPendingConnections = 512;
 
-std::string listed(const std::map<std::string, std::uint64_t>& counts) {
+std::string format_counts(const std::map<std::string, std::uint64_t>& counts) {
   std::string text;
-  for (const auto& [what, n] : counts) text += (text.empty() ? "" : "; ") + what + " " + std::to_string(n);
+  for (const auto& [name, count] : counts)
+    text += (text.empty() ? "" : "; ") + name + " " + std::to_string(count);
   return text;
 }
 
@@ -57,75 +58,78 @@
   explicit Service(CoordinatorConfig config)
       : config_{std::move(config)},
         log_{"gorsemount", "info", ""},
-        instance_{config_.settings, config_.labels, config_.seed, unix_zero()},
+        policy_host_{config_.settings, config_.id_names, config_.seed, unix_epoch()},
         watch_{loop_,
                config_.discovery,
                {},
                config_.seed,
-               {[this](discovery::BackendList list) { take(list); },
-                [this](const std::string& why) { lost(why); }}},
-        gate_{loop_, config_.listen, {descriptors_for_peers(config_), kPendingMost}, callbacks()} {
+               {[this](discovery::BackendList list) { on_backend_list(list); },
+                [this](const std::string& why) { on_watch_failure(why); }}},
+        stream_server_{
+            loop_, config_.listen, {max_stream_connections(config_), kMaxPendingConnections}, callbacks()} {
     loop_.on_signal(SIGTERM, [this] { stop("SIGTERM"); });
     loop_.on_signal(SIGINT, [this] { stop("SIGINT"); });
     loop_.on_signal(SIGHUP, [this] { reload(); });
-    if (config_.known) {
-      instance_.handle_list(*config_.known, true);
-      watch_.resume_from(config_.known->version);
+    if (config_.initial_backends) {
+      policy_host_.handle_list(*config_.initial_backends, true);
+      watch_.resume_from(config_.initial_backends->version);
     }
     if (!config_.settings.explicit_subscription) watch_.subscribe();
     step();
-    log_.event(log::Level::info, "started",
-               {{"name", config_.name},
-                {"listen", config_.listen.text()},
-                {"discovery", config_.discovery.text()},
-                {"known", std::to_string(config_.known ? config_.known->rows.size() : 0)},
-                {"peers_most", std::to_string(descriptors_for_peers(config_))}});
-    log_state_later();
+    log_.event(
+        log::Level::info, "started",
+        {{"name", config_.name},
+         {"listen", config_.listen.text()},
+         {"discovery", config_.discovery.text()},
+         {"known", std::to_string(config_.initial_backends ? config_.initial_backends->rows.size() : 0)},
+         {"peers_most", std::to_string(max_stream_connections(config_))}});
+    schedule_state_log();
   }
   void run() { loop_.run(); }
 
  private:
   streams::StreamServer::Callbacks callbacks() {
-    return {[this](streams::StreamId id, const streams::ProxyJoin& m) {
-              // Every proxy may come to one coordinator; who finds no place is told, and dials another.
-              if (gate_.is_full() && !instance_.is_joined(m.proxy))
+    return {[this](streams::StreamId id, const streams::ProxyJoin& message) {
+              // All proxies may connect to one coordinator. One that is refused for lack of room connects to
+              // another.
+              if (stream_server_.is_full() && !policy_host_.is_joined(message.proxy))
                 return streams::PolicyHost::JoinResult{"no room", {}};
               schedule();
-              return instance_.join(id, m);
+              return policy_host_.join(id, message);
             },
-            [this](const streams::CollectorJoin& m) {
-              return instance_.find_zone(m.zone) ? nullptr : "no such zone";
+            [this](const streams::CollectorJoin& message) {
+              return policy_host_.find_zone(message.zone) ? nullptr : "no such zone";
             },
-            [this](std::optional<streams::StreamId> from, const streams::Message& m) {
+            [this](std::optional<streams::StreamId> from, const streams::Message& message) {
               schedule();
-              return instance_.handle_report(net::monotonic_now(), from, m);
+              return policy_host_.handle_report(net::monotonic_now(), from, message);
             },
             [this](streams::StreamId id) {
               schedule();
-              instance_.leave(id);
+              policy_host_.leave(id);
             }};
   }
 
-  void take(const discovery::BackendList& list) {
-    list_at_ = loop_.now();
-    if (const std::size_t skipped = instance_.handle_list(list); skipped > 0)
+  void on_backend_list(const discovery::BackendList& list) {
+    list_received_at_ = loop_.now();
+    if (const std::size_t skipped = policy_host_.handle_list(list); skipped > 0)
       log_.event(log::Level::warning, "rows_skipped", {{"zone_unknown", std::to_string(skipped)}});
     schedule();
   }
 
-  void lost(const std::string& why) {
+  void on_watch_failure(const std::string& why) {
     log_.event(log::Level::warning, "watch_lost",
                {{"why", why}, {"version", std::to_string(watch_.version())}});
     if (stopping_) return;
-    if (config_.settings.explicit_subscription) {  // the module says when to ask again
-      instance_.handle_list_failure();
+    if (config_.settings.explicit_subscription) {  // the policy decides when to subscribe again
+      policy_host_.handle_list_failure();
       schedule();
     } else {
       watch_.subscribe_after_delay();
     }
   }
 
-  // What comes in one turn of the loop is one batch.
+  // Input received in one loop iteration is handled as one batch.
   void schedule() {
     if (std::exchange(scheduled_, true)) return;
     loop_.soon([this] { step(); });
@@ -134,97 +138,100 @@
   void step() {
     scheduled_ = false;
     if (stopping_) return;
-    const Instant begun = net::monotonic_now();
-    const auto effects = instance_.step(begun);
-    const Instant decided = net::monotonic_now();
+    const Instant started = net::monotonic_now();
+    const auto effects = policy_host_.step(started);
+    const Instant decision_end = net::monotonic_now();
     for (const auto& send : effects.sends) {
-      gate_.send(send.stream, send.message->bytes);
-      lines_out_ += send.message->line_count;
+      stream_server_.send(send.stream, send.message->bytes);
+      sent_lines_ += send.message->line_count;
     }
     if (effects.subscribe) watch_.subscribe();
-    longest_decision_ = std::max(longest_decision_, decided - begun);
-    longest_step_ = std::max(longest_step_, net::monotonic_now() - begun);
+    longest_decision_ = std::max(longest_decision_, decision_end - started);
+    longest_step_ = std::max(longest_step_, net::monotonic_now() - started);
     ++steps_;
-    loop_.cancel(wake_);
-    if (const auto when = instance_.next_wake()) wake_ = loop_.at(*when, [this] { step(); });
+    loop_.cancel(wake_timer_);
+    if (const auto when = policy_host_.next_wake()) wake_timer_ = loop_.at(*when, [this] { step(); });
   }
 
   void reload() {
     if (stopping_) return;
-    CoordinatorConfig fresh;
+    CoordinatorConfig new_config;
     try {
-      fresh = read_coordinator_config(environment);
-    } catch (const std::exception& fault) {
-      log_.event(log::Level::error, "reload_refused", {{"why", fault.what()}});
+      new_config = read_coordinator_config(environment);
+    } catch (const std::exception& error) {
+      log_.event(log::Level::error, "reload_refused", {{"why", error.what()}});
       return;
     }
-    std::string others;  // what only a restart takes over
-    const auto changed = [&](bool is, const char* what) {
-      others += is ? (others.empty() ? "" : ", ") + std::string{what} : "";
+    std::string restart_fields;  // changed fields that take effect only after a restart
+    const auto note_change = [&](bool differs, const char* name) {
+      restart_fields += differs ? (restart_fields.empty() ? "" : ", ") + std::string{name} : "";
     };
-    changed(fresh.settings_text != config_.settings_text, "settings");
-    changed(fresh.listen != config_.listen, "listen");
-    changed(fresh.sockets != config_.sockets, "limits.sockets");
+    note_change(new_config.settings_text != config_.settings_text, "settings");
+    note_change(new_config.listen != config_.listen, "listen");
+    note_change(new_config.max_sockets != config_.max_sockets, "limits.sockets");
     log_.event(log::Level::info, "reloaded",
-               {{"discovery", fresh.discovery.text()}, {"needs_a_restart", others}});
-    config_.discovery = fresh.discovery;
-    watch_.set_endpoint(fresh.discovery);
+               {{"discovery", new_config.discovery.text()}, {"needs_a_restart", restart_fields}});
+    config_.discovery = new_config.discovery;
+    watch_.set_endpoint(new_config.discovery);
   }
 
-  // Whoever can be answered in the time that a stop may take is answered; nothing is decided any more.
+  // Answers pending connections within the shutdown timeout; no further policy steps run.
   void stop(const char* why) {
     if (std::exchange(stopping_, true)) return;
     log_state();
     log_.event(log::Level::info, "stopping", {{"why", why}});
-    gate_.shut_down(kShutDownWithin, [this] { loop_.stop(); });
+    stream_server_.shut_down(kShutdownTimeout, [this] { loop_.stop(); });
   }
 
-  void log_state_later() {
-    loop_.after(kLogStateEvery, [this] {
+  void schedule_state_log() {
+    loop_.after(kStateLogInterval, [this] {
       log_state();
-      log_state_later();
+      schedule_state_log();
     });
   }
 
-  // What it believes, to be set beside what passed on the sockets.
+  // Logs the coordinator's view of the fleet, to compare with the traffic on the sockets.
   void log_state() {
-    const auto belief = instance_.take_stats();
-    const auto& counts = gate_.counts();
+    const auto stats = policy_host_.take_stats();
+    const auto& counts = stream_server_.counts();
     log::Fields fields{
-        {"streams", std::to_string(belief.joined_proxies)},
-        {"peers", std::to_string(gate_.connection_count())},
-        {"pending", std::to_string(gate_.pending_count())},
+        {"streams", std::to_string(stats.joined_proxies)},
+        {"peers", std::to_string(stream_server_.connection_count())},
+        {"pending", std::to_string(stream_server_.pending_count())},
         {"version", std::to_string(watch_.version())},
         {"watch", watch_.established() ? "stands" : "none"},
-        {"list_age_s", list_at_ ? fmt::format("{:.1f}", (loop_.now() - *list_at_).seconds()) : ""},
-        {"ready", std::to_string(belief.ready)},
-        {"draining", std::to_string(belief.draining)},
-        {"names", std::to_string(belief.known_backends)},
-        {"table_lines", std::to_string(belief.table_entries)},
-        {"levels", belief.levels},
-        {"held_back", belief.reduced},
-        {"failing", belief.failing},
+        {"list_age_s",
+         list_received_at_ ? fmt::format("{:.1f}", (loop_.now() - *list_received_at_).seconds()) : ""},
+        {"ready", std::to_string(stats.ready)},
+        {"draining", std::to_string(stats.draining)},
+        {"names", std::to_string(stats.known_backends)},
+        {"table_lines", std::to_string(stats.table_entries)},
+        {"levels", stats.levels},
+        {"held_back", stats.reduced},
+        {"failing", stats.failing},
         {"messages_out", std::to_string(counts.messages_sent)},
-        {"lines_out", std::to_string(lines_out_)},
+        {"lines_out", std::to_string(sent_lines_)},
         {"bytes_out", std::to_string(counts.bytes_sent)},
         {"reports", std::to_string(counts.reports)},
         {"accepted", std::to_string(counts.accepted)},
         {"joins", std::to_string(counts.joins)},
         {"protocol_errors", std::to_string(counts.protocol_errors)},
         {"not_reading", std::to_string(counts.slow_consumers)},
-        {"malformed", listed(counts.malformed)},
-        {"refused", listed(counts.refusals)},
+        {"malformed", format_counts(counts.malformed)},
+        {"refused", format_counts(counts.refusals)},
         {"turns", std::to_string(loop_.turns())},
         {"steps", std::to_string(steps_)},
         {"longest_step_ms", fmt::format("{:.2f}", longest_step_.seconds() * 1000)},
         {"longest_decision_ms", fmt::format("{:.2f}", longest_decision_.seconds() * 1000)}};
-    for (const auto& [zone, heard] : belief.zones)
+    for (const auto& [zone, zone_stats] : stats.zones)
       fields.emplace_back(
           "zone_" + zone,
-          fmt::format(
-              "tries {:.0f} errored {:.0f} latency_ms {:.0f} busy {:.2f}", heard.tries, heard.errored,
-              heard.tries > heard.errored ? 1000 * heard.latency_seconds / (heard.tries - heard.errored) : 0,
-              heard.cpu_samples > 0 ? heard.cpu_sum / heard.cpu_samples : 0));
+          fmt::format("tries {:.0f} errored {:.0f} latency_ms {:.0f} busy {:.2f}", zone_stats.tries,
+                      zone_stats.errored,
+                      zone_stats.tries > zone_stats.errored
+                          ? 1000 * zone_stats.latency_seconds / (zone_stats.tries - zone_stats.errored)
+                          : 0,
+                      zone_stats.cpu_samples > 0 ? zone_stats.cpu_sum / zone_stats.cpu_samples : 0));
     log_.event(log::Level::info, "state", fields);
     longest_step_ = longest_decision_ = {};
   }
@@ -232,46 +239,46 @@
   CoordinatorConfig config_;
   net::Loop loop_;
   log::Log log_;
-  streams::PolicyHost instance_;
+  streams::PolicyHost policy_host_;
   discovery::Watch watch_;
-  streams::StreamServer gate_;
-  net::Loop::Timer wake_;
+  streams::StreamServer stream_server_;
+  net::Loop::Timer wake_timer_;
   bool scheduled_ = false, stopping_ = false;
-  std::optional<Instant> list_at_;
-  std::uint64_t lines_out_ = 0, steps_ = 0;
+  std::optional<Instant> list_received_at_;
+  std::uint64_t sent_lines_ = 0, steps_ = 0;
   Span longest_step_, longest_decision_;
 };
 
 }  // namespace
 
-void hold_signals() {
-  sigset_t held;
-  sigemptyset(&held);
-  for (const int signal : {SIGHUP, SIGTERM, SIGINT}) sigaddset(&held, signal);
-  sigprocmask(SIG_BLOCK, &held, nullptr);
-  std::signal(SIGPIPE, SIG_IGN);  // whoever reads the log may go
+void block_signals() {
+  sigset_t blocked_signals;
+  sigemptyset(&blocked_signals);
+  for (const int signal : {SIGHUP, SIGTERM, SIGINT}) sigaddset(&blocked_signals, signal);
+  sigprocmask(SIG_BLOCK, &blocked_signals, nullptr);
+  std::signal(SIGPIPE, SIG_IGN);  // the reader of the log may exit
 }
 
 int coordinator() {
   CoordinatorConfig config;
   try {
     config = read_coordinator_config(environment);
-  } catch (const std::exception& fault) {
-    std::cerr << "gorsemount coordinator: " << fault.what() << '\n';
+  } catch (const std::exception& error) {
+    std::cerr << "gorsemount coordinator: " << error.what() << '\n';
     return kExitInvalidConfig;
   }
   std::unique_ptr<Service> service;
   try {
     service = std::make_unique<Service>(std::move(config));
-  } catch (const std::system_error& fault) {
-    std::cerr << "gorsemount coordinator: " << fault.what() << '\n';
+  } catch (const std::system_error& error) {
+    std::cerr << "gorsemount coordinator: " << error.what() << '\n';
     return kExitCannotListen;
   }
   try {
     service->run();
     return kExitSuccess;
-  } catch (const std::exception& fault) {
-    std::cerr << "gorsemount coordinator: " << fault.what() << '\n';
+  } catch (const std::exception& error) {
+    std::cerr << "gorsemount coordinator: " << error.what() << '\n';
     return kExitFailure;
   }
 }
--- a/src/app/coordinator.hpp
+++ b/src/app/coordinator.hpp
@@ -1,11 +1,11 @@
-// `gorsemount coordinator`: a coordinator in service on a platform, by streams to its proxies.
+// `gorsemount coordinator`: runs the coordinator as a service that controls its proxies over streams.
 #pragma once
 
 namespace gorsemount::app {
 
-// To be called before all else, so that no signal can end the program before its handler stands: it waits
-// till then.
-void hold_signals();
+// Blocks SIGHUP, SIGTERM and SIGINT until the event loop handles them. Call it first in main(), so that no
+// signal can end the program before its handler is installed.
+void block_signals();
 
 // Runs until SIGTERM; returns the program's exit code.
 [[nodiscard]] int coordinator();
--- a/src/app/coordinator_config.hpp
+++ b/src/app/coordinator_config.hpp
@@ -1,4 +1,5 @@
-// What the platform tells a coordinator: the file that GW_CONFIG names, and variables for what it leaves out.
+// Configuration of `gorsemount coordinator`: the JSON file that GW_CONFIG names, with environment variables
+// for values that the file omits.
 #pragma once
 
 #include <cstdint>
@@ -16,16 +17,16 @@
   std::string name;
   Endpoint listen, discovery;
   std::uint64_t seed = 0;
-  std::size_t sockets = 1024;
-  std::optional<discovery::BackendList> known;
+  std::size_t max_sockets = 1024;
+  std::optional<discovery::BackendList> initial_backends;
   Settings settings;
-  IdNames labels;
-  std::string settings_text;  // to tell whether they changed
+  IdNames id_names;
+  std::string settings_text;  // compared on reload to detect changes
 };
 
 using Environment = std::function<std::optional<std::string>(const char* name)>;
 
-// Throws std::runtime_error that names the file and what is wrong where.
+// Throws std::runtime_error with the file, the field and the reason.
 [[nodiscard]] CoordinatorConfig read_coordinator_config(const Environment& environment);
 [[nodiscard]] CoordinatorConfig parse_coordinator_config(const std::string& text,
                                                          const Environment& environment);
--- a/src/app/ctl.hpp
+++ b/src/app/ctl.hpp
@@ -1,4 +1,4 @@
-// `gorsemount ctl`: a person's commands to a running coordinator.
+// `gorsemount ctl`: sends operator commands to a running coordinator.
 #pragma once
 
 #include <string>
@@ -11,7 +11,7 @@
   std::vector<std::string> words;
   bool complete = false;
 };
-// Prints the answer. Returns the exit code: kExitCommandRefused if the command was refused or not understood.
+// Prints the response. Returns the exit code: kExitCommandRefused if the command was refused or unknown.
 int ctl(const CtlOptions& options);
 
 }  // namespace gorsemount::app
--- a/src/app/day.cpp
+++ b/src/app/day.cpp
@@ -34,82 +34,82 @@
 using standins::Count;
 using standins::Day;
 
-const Span kPrelude = Span::seconds(1.5);  // for coordinators to bind and hear of every worker
-const Span kPoll = Span::seconds(0.05);
-const Span kStrike = Span::seconds(0.003);  // well below a lease
-constexpr unsigned kFleetOctets = 10;
+const Span kStartupDelay = Span::seconds(1.5);  // lets coordinators bind their sockets and probe every worker
+const Span kPollInterval = Span::seconds(0.05);
+const Span kKillPollInterval = Span::seconds(0.003);  // well below the lease duration
+constexpr unsigned kOctetsPerFleet = 10;
 
-// A process of ours; ended with us, whatever ends us.
-class Child {
+// A child process that is killed when this process ends, however it ends.
+class ChildProcess {
  public:
-  Child(std::vector<std::string> command, const std::string& errors) {
-    std::vector<char*> raw;
-    for (auto& word : command) raw.push_back(word.data());
-    raw.push_back(nullptr);
+  ChildProcess(std::vector<std::string> command, const std::string& error_file) {
+    std::vector<char*> arguments;
+    for (auto& word : command) arguments.push_back(word.data());
+    arguments.push_back(nullptr);
     const pid_t parent = getpid();
     pid_ = fork();
     if (pid_ < 0) throw std::system_error{errno, std::generic_category(), "fork"};
     if (pid_ > 0) return;
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (getppid() != parent) _exit(127);
-    if (const int fd = open(errors.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644); fd >= 0)
+    if (const int fd = open(error_file.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644); fd >= 0)
       dup2(fd, STDERR_FILENO);
     sigset_t none;
     sigemptyset(&none);
     sigprocmask(SIG_SETMASK, &none, nullptr);
-    execv(raw[0], raw.data());
+    execv(arguments[0], arguments.data());
     _exit(127);
   }
-  Child(const Child&) = delete;
-  Child& operator=(const Child&) = delete;
-  ~Child() {
-    end(SIGKILL);
-    while (!ended()) usleep(1000);
+  ChildProcess(const ChildProcess&) = delete;
+  ChildProcess& operator=(const ChildProcess&) = delete;
+  ~ChildProcess() {
+    send_signal(SIGKILL);
+    while (!has_exited()) usleep(1000);
   }
-  void end(int signal) const {
-    if (!code_ && pid_ > 0) kill(pid_, signal);
+  void send_signal(int signal) const {
+    if (!exit_code_ && pid_ > 0) kill(pid_, signal);
   }
-  [[nodiscard]] bool ended() {
+  [[nodiscard]] bool has_exited() {
     int status = 0;
-    if (!code_ && waitpid(pid_, &status, WNOHANG) == pid_)
-      code_ = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
-    return code_.has_value();
+    if (!exit_code_ && waitpid(pid_, &status, WNOHANG) == pid_)
+      exit_code_ = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
+    return exit_code_.has_value();
   }
-  [[nodiscard]] int code() const { return code_.value_or(-1); }
+  [[nodiscard]] int exit_code() const { return exit_code_.value_or(-1); }
 
  private:
   pid_t pid_ = -1;
-  std::optional<int> code_;
+  std::optional<int> exit_code_;
 };
 
-// One fleet: its coordinators, its stand-ins, its folder.
+// One fleet: its coordinator processes, its stand-in process and its folder.
 class Fleet {
  public:
   Fleet(const Day& day, std::string file, std::string folder, standins::Places places,
-        const std::vector<lab::Override>& changes, bool fixed, bool show)
+        const std::vector<lab::Override>& changes, bool fixed_weights, bool show)
       : day_{day},
-        file_{std::move(file)},
+        day_file_{std::move(file)},
         folder_{std::move(folder)},
         places_{places},
-        fixed_{fixed},
+        fixed_weights_{fixed_weights},
         show_{show} {
     fs::create_directories(folder_);
-    fs::copy_file(file_, folder_ + "/day.hcl", fs::copy_options::overwrite_existing);
+    fs::copy_file(day_file_, folder_ + "/day.hcl", fs::copy_options::overwrite_existing);
     std::ofstream{folder_ + "/roster.hcl"} << standins::roster_text(standins::roster_of(day_, places_));
-    for (std::size_t k = 1; k <= day_.coordinators.size(); ++k) {
-      std::string text = standins::coordinator_settings(day_, places_, k, folder_);
+    for (std::size_t number = 1; number <= day_.coordinators.size(); ++number) {
+      std::string text = standins::coordinator_settings(day_, places_, number, folder_);
       for (const auto& change : changes) text = lab::put(std::move(text), change);
-      std::ofstream{settings(k)} << text;
+      std::ofstream{settings_file(number)} << text;
     }
     if (day_.shared)
-      std::ofstream{folder_ + "/keys"} << "1 " << std::string(64, '5') << "\n";  // of this day only
+      std::ofstream{folder_ + "/keys"} << "1 " << std::string(64, '5') << "\n";  // a key for this run only
     coordinators_.resize(day_.coordinators.size());
   }
 
   void start(net::Loop& loop, Instant begin) {
-    std::vector<std::string> command{beside("gorsemount-standin"),
+    std::vector<std::string> command{program_path("gorsemount-standin"),
                                      "play",
-                                     file_,
+                                     day_file_,
                                      "--folder",
                                      folder_,
                                      "--octet",
@@ -117,181 +117,189 @@
                                      "--start",
                                      std::to_string((begin - Instant{}).micros())};
     if (show_) command.emplace_back("--show");
-    stage_.emplace(std::move(command), folder_ + "/errors.log");
-    for (std::size_t k = 1; k <= coordinators_.size(); ++k) start_coordinator(k);
+    stand_ins_.emplace(std::move(command), folder_ + "/errors.log");
+    for (std::size_t number = 1; number <= coordinators_.size(); ++number) start_coordinator(number);
     for (const auto& person : day_.persons)
       loop.at(begin + person.at, [this, &person] {
-        for (std::size_t k = 1; k <= coordinators_.size(); ++k)
-          if (coordinators_[k - 1])
-            static_cast<void>(ctl({fmt::format("{}/pwani-{}.sock", folder_, k), "", {person.words}, false}));
+        for (std::size_t number = 1; number <= coordinators_.size(); ++number)
+          if (coordinators_[number - 1])
+            static_cast<void>(
+                ctl({fmt::format("{}/pwani-{}.sock", folder_, number), "", {person.words}, false}));
       });
     for (const auto& kill : day_.kills)
-      for (std::size_t k = 1; k <= coordinators_.size(); ++k)
-        if (kill.coordinator == "pwani-" + std::to_string(k)) {
-          loop.at(begin + kill.at, [this, k, &kill] {
+      for (std::size_t number = 1; number <= coordinators_.size(); ++number)
+        if (kill.coordinator == "pwani-" + std::to_string(number)) {
+          loop.at(begin + kill.at, [this, number, &kill] {
             if (kill.pause) {
-              coordinators_[k - 1]->end(SIGSTOP);
+              coordinators_[number - 1]->send_signal(SIGSTOP);
             } else if (kill.planned) {
-              coordinators_[k - 1]->end(SIGTERM);
+              coordinators_[number - 1]->send_signal(SIGTERM);
             } else {
-              coordinators_[k - 1].reset();
+              coordinators_[number - 1].reset();
             }
           });
-          loop.at(begin + kill.at + kill.lasts, [this, k, &kill] {
+          loop.at(begin + kill.at + kill.lasts, [this, number, &kill] {
             if (kill.pause) {
-              coordinators_[k - 1]->end(SIGCONT);
+              coordinators_[number - 1]->send_signal(SIGCONT);
             } else {
-              start_coordinator(k);
+              start_coordinator(number);
             }
           });
         }
   }
-  // Strikes whoever the stand-ins named since the last call.
-  void strike(net::Loop& loop) {
+  // Kills or pauses the coordinators that the stand-ins have requested since the last call.
+  void process_kill_requests(net::Loop& loop) {
     std::ifstream in{folder_ + "/strikes"};
     std::string line;
     for (std::size_t n = 0; std::getline(in, line); ++n) {
-      if (n < struck_) continue;
-      ++struck_;
+      if (n < processed_kills_) continue;
+      ++processed_kills_;
       if (!line.starts_with("pwani-")) continue;
-      const std::size_t k = std::strtoul(line.c_str() + 6, nullptr, 10);
-      if (k < 1 || k > coordinators_.size() || !coordinators_[k - 1]) continue;
+      const std::size_t number = std::strtoul(line.c_str() + 6, nullptr, 10);
+      if (number < 1 || number > coordinators_.size() || !coordinators_[number - 1]) continue;
       if (day_.cuts.pause) {
-        coordinators_[k - 1]->end(SIGSTOP);
-        loop.after(day_.cuts.lasts, [this, k] { coordinators_[k - 1]->end(SIGCONT); });
+        coordinators_[number - 1]->send_signal(SIGSTOP);
+        loop.after(day_.cuts.lasts, [this, number] { coordinators_[number - 1]->send_signal(SIGCONT); });
       } else {
-        coordinators_[k - 1].reset();
-        loop.after(day_.cuts.lasts, [this, k] {
-          if (!coordinators_[k - 1]) start_coordinator(k);
+        coordinators_[number - 1].reset();
+        loop.after(day_.cuts.lasts, [this, number] {
+          if (!coordinators_[number - 1]) start_coordinator(number);
         });
       }
     }
   }
-  // True once the stand-ins are done.
-  [[nodiscard]] bool over() { return stage_->ended(); }
-  [[nodiscard]] bool failed() const { return stage_->code() != 0; }
+  // True once the stand-in process has exited.
+  [[nodiscard]] bool finished() { return stand_ins_->has_exited(); }
+  [[nodiscard]] bool failed() const { return stand_ins_->exit_code() != 0; }
   void stop() {
     for (auto& c : coordinators_)
-      if (c) c->end(SIGTERM);
+      if (c) c->send_signal(SIGTERM);
     for (auto& c : coordinators_)
-      for (int k = 0; c && !c->ended() && k < 2000; ++k) usleep(1000);
+      for (int tries = 0; c && !c->has_exited() && tries < 2000; ++tries) usleep(1000);
   }
-  [[nodiscard]] Audit judge() const { return standins::audit(day_, standins::read_records(folder_)); }
+  [[nodiscard]] Audit audit_records() const { return standins::audit(day_, standins::read_records(folder_)); }
   [[nodiscard]] const std::string& folder() const { return folder_; }
 
  private:
-  [[nodiscard]] std::string settings(std::size_t k) const {
-    return fmt::format("{}/pwani-{}.hcl", folder_, k);
+  [[nodiscard]] std::string settings_file(std::size_t number) const {
+    return fmt::format("{}/pwani-{}.hcl", folder_, number);
   }
-  static std::string beside(const char* program) {
+  static std::string program_path(const char* program) {
     return (fs::read_symlink("/proc/self/exe").parent_path() / program).string();
   }
-  void start_coordinator(std::size_t k) {
-    std::vector<std::string> command{beside("gorsemount"), "serve", settings(k)};
-    if (fixed_) command.emplace_back("--fixed-weights");
-    coordinators_[k - 1] = std::make_unique<Child>(std::move(command), folder_ + "/errors.log");
+  void start_coordinator(std::size_t number) {
+    std::vector<std::string> command{program_path("gorsemount"), "serve", settings_file(number)};
+    if (fixed_weights_) command.emplace_back("--fixed-weights");
+    coordinators_[number - 1] = std::make_unique<ChildProcess>(std::move(command), folder_ + "/errors.log");
   }
 
   const Day& day_;
-  std::string file_, folder_;
+  std::string day_file_, folder_;
   standins::Places places_;
-  bool fixed_, show_;
-  std::optional<Child> stage_;
-  std::vector<std::unique_ptr<Child>> coordinators_;
-  std::size_t struck_ = 0;
+  bool fixed_weights_, show_;
+  std::optional<ChildProcess> stand_ins_;
+  std::vector<std::unique_ptr<ChildProcess>> coordinators_;
+  std::size_t processed_kills_ = 0;
 };
 
-void print_counts(const std::string& head, const Count& ours, const Count* theirs) {
-  std::string line = fmt::format("  {:<16} {:>6} {:>8.3f} {:>6} {:>8} {:>8} {:>8}", head, ours.invocations,
-                                 ours.service(), ours.late, ours.errored, ours.limited, ours.no_line);
-  if (theirs != nullptr)
-    line += fmt::format("   {:>8.3f} {:>+8.3f}", theirs->service(), ours.service() - theirs->service());
+void print_counts(const std::string& label, const Count& measured, const Count* baseline) {
+  std::string line =
+      fmt::format("  {:<16} {:>6} {:>8.3f} {:>6} {:>8} {:>8} {:>8}", label, measured.invocations,
+                  measured.service(), measured.late, measured.errored, measured.limited, measured.no_line);
+  if (baseline != nullptr)
+    line +=
+        fmt::format("   {:>8.3f} {:>+8.3f}", baseline->service(), measured.service() - baseline->service());
   std::printf("%s\n", line.c_str());
 }
 
-void print_rules(const Audit& a) {
-  for (const auto& v : a.verdicts)
-    std::printf("%s\n", fmt::format("  {:<34} {:<6} {:>9.3f} of {:>9.3f} {:<24} {}", v.rule,
-                                    v.kept ? "kept" : "BROKEN", v.worst, v.limit, v.unit, v.detail)
+void print_rules(const Audit& audit) {
+  for (const auto& verdict : audit.verdicts)
+    std::printf("%s\n", fmt::format("  {:<34} {:<6} {:>9.3f} of {:>9.3f} {:<24} {}", verdict.rule,
+                                    verdict.kept ? "kept" : "BROKEN", verdict.worst, verdict.limit,
+                                    verdict.unit, verdict.detail)
                             .c_str());
-  for (const auto& [what, r] :
-       {std::pair{"a worker's crash to the first list without it", &a.crash_to_answer},
-        {"a worker's crash to the last list with it", &a.crash_to_last},
-        {"a forwarder's losing its leader to the next", &a.unled},
-        {"a table's leaving the channel to in force", &a.in_force},
-        {"a drain to the last invocation sent there", &a.drain_to_last}})
-    if (!r->seconds.empty())
-      std::printf("  from %-46s %7.3f s in the middle, %7.3f s at worst, of %zu\n", what, r->middle(),
-                  r->worst(), r->seconds.size());
-  if (a.cuts > 0) std::printf("  orders were cut at %zu seeded byte offsets\n", a.cuts);
-  if (a.disobedient_refused > 0)
+  for (const auto& [interval, reaction] :
+       {std::pair{"a worker's crash to the first list without it", &audit.crash_to_answer},
+        {"a worker's crash to the last list with it", &audit.crash_to_last},
+        {"a forwarder's loss of its leader to the next", &audit.unled},
+        {"a table's leaving the channel to its application", &audit.in_force},
+        {"a drain to the last invocation sent there", &audit.drain_to_last}})
+    if (!reaction->seconds.empty())
+      std::printf("  from %-46s median %7.3f s, worst %7.3f s, of %zu\n", interval, reaction->middle(),
+                  reaction->worst(), reaction->seconds.size());
+  if (audit.cuts > 0) std::printf("  commands were truncated at %zu seeded byte offsets\n", audit.cuts);
+  if (audit.disobedient_refused > 0)
     std::printf(
-        "  %llu invocations of clients that disobey were refused by draining workers before they began\n",
-        static_cast<unsigned long long>(a.disobedient_refused));
+        "  %llu invocations by clients that keep expired answers were refused by draining workers before "
+        "they started\n",
+        static_cast<unsigned long long>(audit.disobedient_refused));
 }
 
-void print_table(const Audit& ours, const Audit* fixed) {
+void print_table(const Audit& measured, const Audit* baseline) {
   std::printf(
-      "\nBilled value answered within the latency objective, over that asked for\n  %-16s %6s %8s %6s %8s "
+      "\nBilled value answered within the latency objective, as a fraction of that requested\n  %-16s %6s "
+      "%8s %6s %8s "
       "%8s %8s%s\n",
       "", "asked", "service", "late", "errored", "limited", "no line",
-      fixed != nullptr ? "      fixed  differs" : "");
-  print_counts("whole day", ours.whole, fixed != nullptr ? &fixed->whole : nullptr);
-  for (const auto& [name, c] : ours.by_operation) {
-    const Count* theirs = nullptr;
-    if (fixed != nullptr)
-      if (const auto it = fixed->by_operation.find(name); it != fixed->by_operation.end())
-        theirs = &it->second;
-    print_counts(name, c, theirs);
+      baseline != nullptr ? "      fixed  differs" : "");
+  print_counts("whole day", measured.whole, baseline != nullptr ? &baseline->whole : nullptr);
+  for (const auto& [name, counts] : measured.by_operation) {
+    const Count* baseline_counts = nullptr;
+    if (baseline != nullptr)
+      if (const auto it = baseline->by_operation.find(name); it != baseline->by_operation.end())
+        baseline_counts = &it->second;
+    print_counts(name, counts, baseline_counts);
   }
-  for (std::size_t k = 0; k < ours.by_phase.size(); ++k)
-    print_counts("phase " + ours.by_phase[k].first, ours.by_phase[k].second,
-                 fixed != nullptr && k < fixed->by_phase.size() ? &fixed->by_phase[k].second : nullptr);
-  std::printf("\nRules, worst met against the limit\n");
-  print_rules(ours);
-  if (fixed != nullptr) {
+  for (std::size_t phase = 0; phase < measured.by_phase.size(); ++phase)
+    print_counts("phase " + measured.by_phase[phase].first, measured.by_phase[phase].second,
+                 baseline != nullptr && phase < baseline->by_phase.size() ? &baseline->by_phase[phase].second
+                                                                          : nullptr);
+  std::printf("\nRules, worst value against the limit\n");
+  print_rules(measured);
+  if (baseline != nullptr) {
     std::printf("\nThe same under fixed weights\n");
-    print_rules(*fixed);
+    print_rules(*baseline);
   }
 }
 
-// Long days are for the virtual clock.
-const Span kLongest = Span::seconds(600);
+// Longer days run on the virtual clock only.
+const Span kMaxDayLength = Span::seconds(600);
 
 int play(const Day& day, const DayOptions& options, const std::string& folder) {
-  if (day.length > kLongest)
+  if (day.length > kMaxDayLength)
     throw std::runtime_error{
-        fmt::format("{}: a day on loopback lasts {} at most; `gorsemount replay` plays longer ones",
-                    options.day, config::span_text(kLongest))};
+        fmt::format("{}: a day on loopback may last {} at most; `gorsemount replay` plays longer ones",
+                    options.day, config::span_text(kMaxDayLength))};
   std::vector<lab::Override> changes;
   for (const auto& change : options.changes) changes.push_back(lab::read_override(change));
-  for (std::size_t k = 1; k <= day.coordinators.size(); ++k)
-    static_cast<void>(lab::settings_for(day, k, "", changes));  // faults now
+  for (std::size_t number = 1; number <= day.coordinators.size(); ++number)
+    static_cast<void>(
+        lab::settings_for(day, number, "", changes));  // throws for invalid overrides before anything starts
   net::Loop loop;
-  const Instant begin = net::monotonic_now() + kPrelude;
+  const Instant begin = net::monotonic_now() + kStartupDelay;
   std::vector<std::unique_ptr<Fleet>> fleets;
   fleets.push_back(std::make_unique<Fleet>(day, options.day, folder + "/module",
                                            standins::Places{options.octet}, changes, day.unsafe.fixed_weights,
                                            !options.quiet));
   if (options.baseline)
     fleets.push_back(std::make_unique<Fleet>(day, options.day, folder + "/fixed",
-                                             standins::Places{options.octet + kFleetOctets}, changes, true,
+                                             standins::Places{options.octet + kOctetsPerFleet}, changes, true,
                                              false));
   for (auto& fleet : fleets) fleet->start(loop, begin);
   bool interrupted = false;
   for (const int signal : {SIGINT, SIGTERM}) loop.on_signal(signal, [&] { interrupted = true, loop.stop(); });
-  const std::function<void()> strikes = [&] {
-    for (auto& fleet : fleets) fleet->strike(loop);
-    loop.after(kStrike, strikes);
+  const std::function<void()> poll_kills = [&] {
+    for (auto& fleet : fleets) fleet->process_kill_requests(loop);
+    loop.after(kKillPollInterval, poll_kills);
   };
-  if (day.cuts.count > 0) loop.after(kStrike, strikes);
+  if (day.cuts.count > 0) loop.after(kKillPollInterval, poll_kills);
   const std::function<void()> poll = [&] {
-    bool over = true;
-    for (auto& fleet : fleets) over = fleet->over() && over;
-    if (over) return loop.stop();
-    loop.after(kPoll, poll);
+    bool finished = true;
+    for (auto& fleet : fleets) finished = fleet->finished() && finished;
+    if (finished) return loop.stop();
+    loop.after(kPollInterval, poll);
   };
-  loop.after(kPoll, poll);
+  loop.after(kPollInterval, poll);
   loop.run();
   for (auto& fleet : fleets) fleet->stop();
   if (interrupted) return kExitFailure;
@@ -302,11 +310,11 @@
       for (std::string line; std::getline(in, line);) std::fprintf(stderr, "  %s\n", line.c_str());
       return kExitFailure;
     }
-  const Audit ours = fleets.front()->judge();
-  std::optional<Audit> fixed;
-  if (options.baseline) fixed = fleets.back()->judge();
-  print_table(ours, fixed ? &*fixed : nullptr);
-  return ours.kept() ? kExitSuccess : kExitRuleViolated;
+  const Audit measured = fleets.front()->audit_records();
+  std::optional<Audit> baseline;
+  if (options.baseline) baseline = fleets.back()->audit_records();
+  print_table(measured, baseline ? &*baseline : nullptr);
+  return measured.kept() ? kExitSuccess : kExitRuleViolated;
 }
 
 }  // namespace
@@ -318,7 +326,7 @@
   const Day script = faults.empty() ? standins::read_day(text, options.day, findings) : Day{};
   faults.insert(faults.end(), findings.faults.begin(), findings.faults.end());
   if (!faults.empty()) {
-    for (const auto& f : faults) std::fprintf(stderr, "%s\n", f.text().c_str());
+    for (const auto& error : faults) std::fprintf(stderr, "%s\n", error.text().c_str());
     return kExitInvalidConfig;
   }
   std::string folder = options.folder;
@@ -329,15 +337,15 @@
     }
     folder = fs::absolute(folder).string();
     for (const char* part : {"/module", "/fixed"}) fs::remove_all(folder + part);
-    const int code = play(script, options, folder);
-    if (options.folder.empty() && code == kExitSuccess) {
+    const int exit_code = play(script, options, folder);
+    if (options.folder.empty() && exit_code == kExitSuccess) {
       fs::remove_all(folder);
     } else {
       std::printf("\nRecords, settings and logs: %s\n", folder.c_str());
     }
-    return code;
-  } catch (const std::exception& fault) {
-    std::fprintf(stderr, "gorsemount: %s\n", fault.what());
+    return exit_code;
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "gorsemount: %s\n", error.what());
     return kExitFailure;
   }
 }
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -1,4 +1,4 @@
-// The program `gorsemount`: subcommands and exit codes.
+// Entry point of `gorsemount`: dispatches to the subcommands.
 #include <CLI/CLI.hpp>
 #include <string_view>
 
@@ -10,23 +10,23 @@
 
 int main(int argc, char** argv) {
   using namespace gorsemount::app;
-  if (argc > 1 && std::string_view{argv[1]} == "coordinator") hold_signals();
-  CLI::App app{"gorsemount tells forwarders and DNS clients where work goes", "gorsemount"};
+  if (argc > 1 && std::string_view{argv[1]} == "coordinator") block_signals();
+  CLI::App app{"gorsemount directs forwarders and DNS clients to backends", "gorsemount"};
   app.require_subcommand(1);
-  int code = kExitSuccess;
+  int exit_code = kExitSuccess;
 
   auto* coordinator_command = app.add_subcommand("coordinator",
-                                                 "run a coordinator on a platform that tells it all by "
-                                                 "GW_CONFIG, until SIGTERM; SIGHUP reads that again");
-  coordinator_command->callback([&] { code = coordinator(); });
+                                                 "run a coordinator until SIGTERM, configured by the file "
+                                                 "that GW_CONFIG names; SIGHUP reloads the file");
+  coordinator_command->callback([&] { exit_code = coordinator(); });
 #ifdef GORSEMOUNT_ALL_COMMANDS
-  const auto held = add_commands(app, code);
+  const auto command_options = add_commands(app, exit_code);
 #endif
 
   try {
     app.parse(argc, argv);
-  } catch (const CLI::ParseError& fault) {
-    return app.exit(fault) == 0 ? kExitSuccess : kExitUsageError;
+  } catch (const CLI::ParseError& error) {
+    return app.exit(error) == 0 ? kExitSuccess : kExitUsageError;
   }
-  return code;
+  return exit_code;
 }
--- a/src/app/roster_file.cpp
+++ b/src/app/roster_file.cpp
@@ -9,34 +9,36 @@
 
 namespace gorsemount::app {
 
-void RosterFile::follow(std::string file) {
-  const std::lock_guard lock{lock_};
-  file_ = std::move(file), fresh_ = true;
+void RosterFile::set_file(std::string file) {
+  const std::lock_guard lock{mutex_};
+  file_ = std::move(file), force_read_ = true;
 }
 
-RosterFile::Look RosterFile::look() {
-  Look look;
+RosterFile::PollResult RosterFile::poll() {
+  PollResult result;
   {
-    const std::lock_guard lock{lock_};
-    look.file = file_;
-    if (std::exchange(fresh_, false)) mark_.clear(), fault_.clear();
+    const std::lock_guard lock{mutex_};
+    result.file = file_;
+    if (std::exchange(force_read_, false)) file_version_.clear(), last_fault_.clear();
   }
-  struct stat now {};
-  if (::stat(look.file.c_str(), &now) != 0) {
-    if (std::exchange(fault_, "missing") != "missing") look.faults.push_back(look.file + ": can't be read");
-    return look;
+  struct stat status {};
+  if (::stat(result.file.c_str(), &status) != 0) {
+    if (std::exchange(last_fault_, "missing") != "missing")
+      result.faults.push_back(result.file + ": can't be read");
+    return result;
   }
-  auto mark = fmt::format("{} {}.{} {}", now.st_ino, now.st_mtim.tv_sec, now.st_mtim.tv_nsec, now.st_size);
-  if (mark == mark_) return look;
-  mark_ = std::move(mark);
+  auto file_version = fmt::format("{} {}.{} {}", status.st_ino, status.st_mtim.tv_sec, status.st_mtim.tv_nsec,
+                                  status.st_size);
+  if (file_version == file_version_) return result;
+  file_version_ = std::move(file_version);
   std::vector<hcl::Fault> faults;
-  const std::string text = config::read_file(look.file, faults);
-  auto read = config::read_roster(text, look.file, settings_);
-  faults.insert(faults.end(), read.faults.begin(), read.faults.end());
-  for (const auto& f : faults) look.faults.push_back(f.text());
-  fault_ = look.faults.empty() ? "" : look.faults.front();
-  if (faults.empty()) look.entries = std::move(read.entries);
-  return look;
+  const std::string text = config::read_file(result.file, faults);
+  auto roster = config::read_roster(text, result.file, settings_);
+  faults.insert(faults.end(), roster.faults.begin(), roster.faults.end());
+  for (const auto& fault : faults) result.faults.push_back(fault.text());
+  last_fault_ = result.faults.empty() ? "" : result.faults.front();
+  if (faults.empty()) result.entries = std::move(roster.entries);
+  return result;
 }
 
 }  // namespace gorsemount::app
--- a/src/app/roster_file.hpp
+++ b/src/app/roster_file.hpp
@@ -1,5 +1,5 @@
-// The roster's file, read again when it changed: a look is background work, since a long file takes longer to
-// parse than an answer may wait.
+// The roster file, read again when it changes. Polling it is background work, since parsing a large file
+// takes longer than a DNS answer may wait.
 #pragma once
 
 #include <mutex>
@@ -13,26 +13,26 @@
 
 class RosterFile {
  public:
-  // Zones and operations are those of `settings` for good.
+  // Entries are checked against the zones and operations of `settings`, which stay fixed.
   RosterFile(coordinator::Settings settings, std::string file)
       : settings_{std::move(settings)}, file_{std::move(file)} {}
 
-  struct Look {
+  struct PollResult {
     std::string file;
-    std::optional<std::vector<coordinator::RosterEntry>> entries;  // absent: unchanged, or not to be used
-    std::vector<std::string> faults;                               // why not; each fault is told once
+    std::optional<std::vector<coordinator::RosterEntry>> entries;  // absent: unchanged or invalid
+    std::vector<std::string> faults;  // why it is invalid; a repeated fault is reported once
   };
-  // From any thread, one at a time. A file counts as changed when its time, size or inode did.
-  [[nodiscard]] Look look();
-  // From any thread: the next look reads this file, changed or not.
-  void follow(std::string file);
+  // May be called from any thread, one call at a time. The file has changed if its mtime, size or inode has.
+  [[nodiscard]] PollResult poll();
+  // May be called from any thread. The next poll reads this file, changed or not.
+  void set_file(std::string file);
 
  private:
   const coordinator::Settings settings_;
-  std::mutex lock_;  // of file_ and fresh_
+  std::mutex mutex_;  // guards file_ and force_read_
   std::string file_;
-  bool fresh_ = true;
-  std::string mark_, fault_;
+  bool force_read_ = true;
+  std::string file_version_, last_fault_;
 };
 
 }  // namespace gorsemount::app
--- a/src/app/serve.hpp
+++ b/src/app/serve.hpp
@@ -1,4 +1,5 @@
-// `gorsemount serve`: the core under the loop, with its front, its sources and its signals.
+// `gorsemount serve`: runs the coordinator in an event loop with its DNS server, forwarder connections,
+// health probes, cluster membership and signal handling.
 #pragma once
 
 #include <string>
@@ -7,15 +8,15 @@
 
 struct ServeOptions {
   std::string config;
-  bool fixed = false;  // fixed weights in place of the module, to compare with
+  bool fixed_weights = false;  // listed weights instead of the policy's decisions, as a baseline
 };
 
-// Runs until it is told to stop. Returns the exit code (docs/operating.md).
+// Runs until SIGTERM or SIGINT. Returns the exit code (docs/operating.md).
 int serve(const ServeOptions& options);
 
-// Prints every fault of the file, or that it is good. Returns the exit code.
+// Prints every error in the settings and the roster, or that they are valid. Returns the exit code.
 int check(const std::string& config);
-// Prints all values in force, with units and where each came from.
+// Prints all effective values, with units and the source of each.
 int explain_config(const std::string& config);
 
 }  // namespace gorsemount::app
--- a/src/app/simulate.cpp
+++ b/src/app/simulate.cpp
@@ -21,59 +21,63 @@
 
 namespace {
 
-double quantile(std::vector<double> v, double part) {
-  if (v.empty()) return 0;
-  std::sort(v.begin(), v.end());
-  return v[std::min(v.size() - 1, static_cast<std::size_t>(part * static_cast<double>(v.size())))];
+double quantile(std::vector<double> values, double fraction) {
+  if (values.empty()) return 0;
+  std::sort(values.begin(), values.end());
+  return values[std::min(values.size() - 1,
+                         static_cast<std::size_t>(fraction * static_cast<double>(values.size())))];
 }
 
-// Of a fault's beginning or end: how long till the service of three seconds is back at 0.98 of that of the
-// ten before the first, and stays there till the next one.
-std::string back_after(const script::Day& day, const std::vector<std::optional<lab::Outcome>>& outcomes) {
+// Recovery time after the start and end of each fault: until the service over 3 s has returned to 0.98 of
+// that in the 10 s before the first fault, and stays there until the next event.
+std::string recovery_report(const script::Day& day,
+                            const std::vector<std::optional<lab::Outcome>>& outcomes) {
   std::vector<std::pair<double, double>> seconds;
-  for (const auto& o : outcomes) {
-    seconds.resize(std::max(seconds.size(), o->by_second.size()));
-    for (std::size_t k = 0; k < o->by_second.size(); ++k)
-      seconds[k].first += o->by_second[k].first, seconds[k].second += o->by_second[k].second;
+  for (const auto& outcome : outcomes) {
+    seconds.resize(std::max(seconds.size(), outcome->by_second.size()));
+    for (std::size_t index = 0; index < outcome->by_second.size(); ++index)
+      seconds[index].first += outcome->by_second[index].first,
+          seconds[index].second += outcome->by_second[index].second;
   }
   std::vector<std::pair<double, std::string>> events;
-  for (const auto& t : day.troubles)
-    events.emplace_back(t.at.seconds(), t.name),
-        events.emplace_back((t.at + t.lasts).seconds(), t.name + " is over");
+  for (const auto& trouble : day.troubles)
+    events.emplace_back(trouble.at.seconds(), trouble.name),
+        events.emplace_back((trouble.at + trouble.lasts).seconds(), trouble.name + " ends");
   std::sort(events.begin(), events.end());
   const double end = (day.length - day.settle).seconds();
   const auto service = [&](double from, double to) {
     double asked = 0, in_time = 0;
-    for (auto k = static_cast<std::size_t>(std::max(0.0, from));
-         k < std::min(seconds.size(), static_cast<std::size_t>(to)); ++k)
-      asked += seconds[k].first, in_time += seconds[k].second;
+    for (auto index = static_cast<std::size_t>(std::max(0.0, from));
+         index < std::min(seconds.size(), static_cast<std::size_t>(to)); ++index)
+      asked += seconds[index].first, in_time += seconds[index].second;
     return asked > 0 ? in_time / asked : 1;
   };
   std::string text;
   if (events.empty() || events.front().first < 3) return text;
-  const double before = service(events.front().first - 10, events.front().first);
-  for (std::size_t k = 0; k < events.size(); ++k) {
-    const double from = events[k].first,
-                 to = std::min(end, k + 1 < events.size() ? events[k + 1].first : end);
-    double back = 0;
-    for (double t = from; t + 3 <= to; ++t)
-      if (service(t, t + 3) < 0.98 * before) back = t + 3 - from;
+  const double baseline = service(events.front().first - 10, events.front().first);
+  for (std::size_t index = 0; index < events.size(); ++index) {
+    const double from = events[index].first,
+                 to = std::min(end, index + 1 < events.size() ? events[index + 1].first : end);
+    double recovery_seconds = 0;
+    for (double event_time = from; event_time + 3 <= to; ++event_time)
+      if (service(event_time, event_time + 3) < 0.98 * baseline) recovery_seconds = event_time + 3 - from;
     if (to - from >= 3)
-      text += fmt::format("  back at 0.98 of before ({:.3f}) after {:<24} {:>5}\n", before, events[k].second,
-                          back + 3 > to - from ? "never" : fmt::format("{:.0f} s", back));
+      text +=
+          fmt::format("  recovery to 0.98 of {:.3f} after {:<24} {:>5}\n", baseline, events[index].second,
+                      recovery_seconds + 3 > to - from ? "never" : fmt::format("{:.0f} s", recovery_seconds));
   }
   return text;
 }
 
 }  // namespace
 
-int simulate(const SimulateOptions& o) {
+int simulate(const SimulateOptions& options) {
   config::Findings findings;
   std::vector<hcl::Fault> faults;
-  const std::string text = config::read_file(o.day, faults);
-  const script::Day day = faults.empty() ? script::read_day(text, o.day, findings) : script::Day{};
+  const std::string text = config::read_file(options.day, faults);
+  const script::Day day = faults.empty() ? script::read_day(text, options.day, findings) : script::Day{};
   faults.insert(faults.end(), findings.faults.begin(), findings.faults.end());
-  for (const auto& f : faults) std::fprintf(stderr, "%s\n", f.text().c_str());
+  for (const auto& error : faults) std::fprintf(stderr, "%s\n", error.text().c_str());
   if (!faults.empty()) return kExitInvalidConfig;
   const std::map<std::string, lab::Decider> deciders{{"module", lab::Decider::module},
                                                      {"equal", lab::Decider::fixed_weights},
@@ -81,59 +85,63 @@
                                                      {"oracle", lab::Decider::oracle}};
   std::vector<lab::Override> changes;
   try {
-    for (const auto& change : o.changes) changes.push_back(lab::read_override(change));
-    for (std::size_t n = 1; n <= day.coordinators.size(); ++n)
-      static_cast<void>(lab::settings_for(day, n, "", changes));  // faults now
-  } catch (const std::exception& fault) {
-    std::fprintf(stderr, "gorsemount: %s\n", fault.what());
+    for (const auto& change : options.changes) changes.push_back(lab::read_override(change));
+    for (std::size_t number = 1; number <= day.coordinators.size(); ++number)
+      static_cast<void>(lab::settings_for(day, number, "",
+                                          changes));  // throws for invalid overrides before anything starts
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "gorsemount: %s\n", error.what());
     return kExitInvalidConfig;
   }
-  std::vector<std::optional<lab::Outcome>> outcomes(static_cast<std::size_t>(o.seeds));
+  std::vector<std::optional<lab::Outcome>> outcomes(static_cast<std::size_t>(options.seeds));
   std::atomic<std::size_t> next = 0;
-  const auto began = std::chrono::steady_clock::now();
+  const auto start = std::chrono::steady_clock::now();
   std::mutex printing;
   const auto work = [&] {
-    for (std::size_t k = next++; k < outcomes.size(); k = next++) {
-      lab::WorldSettings s;
-      s.seed = o.first + k, s.random_faults = o.faults, s.fences = o.fences, s.keeps = o.keeps;
-      s.decider = deciders.at(o.by);
-      s.settings = [&](std::size_t n) { return lab::settings_for(day, n, "", changes); };
-      s.drift = o.faults > 0 ? 0.01 : 0;
-      outcomes[k] = lab::World{day, std::move(s)}.run();
+    for (std::size_t index = next++; index < outcomes.size(); index = next++) {
+      lab::WorldSettings settings;
+      settings.seed = options.first_seed + index, settings.random_faults = options.fault_count,
+      settings.fences = options.fencing, settings.keeps = options.durable;
+      settings.decider = deciders.at(options.decider);
+      settings.settings = [&](std::size_t number) { return lab::settings_for(day, number, "", changes); };
+      settings.drift = options.fault_count > 0 ? 0.01 : 0;
+      outcomes[index] = lab::World{day, std::move(settings)}.run();
       const std::lock_guard lock{printing};
-      for (const auto& rule : outcomes[k]->broken(day))
-        std::printf("  BROKEN  seed %llu: %s\n", static_cast<unsigned long long>(o.first + k), rule.c_str());
+      for (const auto& rule : outcomes[index]->broken(day))
+        std::printf("  BROKEN  seed %llu: %s\n", static_cast<unsigned long long>(options.first_seed + index),
+                    rule.c_str());
       std::fflush(stdout);
     }
   };
   std::vector<std::thread> threads;
-  for (int k = 1; k < o.jobs; ++k) threads.emplace_back(work);
+  for (int index = 1; index < options.jobs; ++index) threads.emplace_back(work);
   work();
-  for (auto& t : threads) t.join();
-  const double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
-  std::vector<double> service, worst, unled;
-  double bare = 0, drained = 0, cold = 0, waiting = 0;
-  std::uint64_t broken = 0, lower = 0, refused = 0, takeovers = 0, half = 0, bytes = 0, tries = 0,
-                crossings = 0, further = 0;
-  for (const auto& r : outcomes) {
-    service.push_back(r->whole.service()), worst.push_back(r->worst_ten());
-    unled.insert(unled.end(), r->unled.begin(), r->unled.end());
-    bare = std::max(bare, r->bare), drained = std::max(drained, r->drained_sent),
-    cold = std::max(cold, r->cold_brought);
-    waiting = std::max(waiting, r->waiting), broken += r->broken(day).empty() ? 0 : 1,
-    lower += r->lower_terms;
-    refused += r->terms_refused, takeovers += r->takeovers, half += r->half_changes,
-        bytes += r->cluster_bytes;
-    tries += r->tries, crossings += r->crossings, further += r->further_tries;
+  for (auto& thread : threads) thread.join();
+  const double elapsed = std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
+  std::vector<double> service, worst, leaderless;
+  double unserved = 0, drain_overrun = 0, cold_load = 0, waiting = 0;
+  std::uint64_t broken = 0, stale_orders = 0, refused_terms = 0, takeovers = 0, partial_changes = 0,
+                cluster_bytes = 0, tries = 0, crossings = 0, further_tries = 0;
+  for (const auto& outcome : outcomes) {
+    service.push_back(outcome->whole.service()), worst.push_back(outcome->worst_ten());
+    leaderless.insert(leaderless.end(), outcome->unled.begin(), outcome->unled.end());
+    unserved = std::max(unserved, outcome->bare),
+    drain_overrun = std::max(drain_overrun, outcome->drained_sent),
+    cold_load = std::max(cold_load, outcome->cold_brought);
+    waiting = std::max(waiting, outcome->waiting), broken += outcome->broken(day).empty() ? 0 : 1,
+    stale_orders += outcome->lower_terms;
+    refused_terms += outcome->terms_refused, takeovers += outcome->takeovers,
+        partial_changes += outcome->half_changes, cluster_bytes += outcome->cluster_bytes;
+    tries += outcome->tries, crossings += outcome->crossings, further_tries += outcome->further_tries;
   }
   const double mean = [&] {
     double sum = 0;
-    for (const double v : service) sum += v;
+    for (const double value : service) sum += value;
     return sum / static_cast<double>(service.size());
   }();
-  const double simulated = day.length.seconds() * static_cast<double>(o.seeds);
-  std::printf("%s\n", fmt::format("{} runs of {:.0f} s, {:.1f} simulated seconds a second", o.seeds,
-                                  day.length.seconds(), simulated / took)
+  const double simulated = day.length.seconds() * static_cast<double>(options.seeds);
+  std::printf("%s\n", fmt::format("{} runs of {:.0f} s, {:.1f} simulated seconds per second", options.seeds,
+                                  day.length.seconds(), simulated / elapsed)
                           .c_str());
   const auto row = [](const char* what, double value, const std::string& more) {
     std::printf("%s\n", fmt::format("  {:<46} {:>10.4f}  {}", what, value, more).c_str());
@@ -141,63 +149,70 @@
   row("service, mean of the runs", mean,
       fmt::format("lowest {:.4f}", *std::min_element(service.begin(), service.end())));
   lab::Tally all;
-  for (const auto& r : outcomes) all.add(r->whole);
-  const auto part = [&](std::uint64_t n) {
-    return 100 * static_cast<double>(n) / static_cast<double>(std::max<std::uint64_t>(1, all.invocations));
+  for (const auto& outcome : outcomes) all.add(outcome->whole);
+  const auto percent = [&](std::uint64_t count) {
+    return 100 * static_cast<double>(count) /
+           static_cast<double>(std::max<std::uint64_t>(1, all.invocations));
   };
   std::printf(
       "%s\n",
       fmt::format("  of invocations: late {:.2f}%, errored {:.2f}%, rate-limited {:.2f}%, no line {:.2f}%",
-                  part(all.late), part(all.errored), part(all.limited), part(all.no_line))
+                  percent(all.late), percent(all.errored), percent(all.limited), percent(all.no_line))
           .c_str());
-  std::vector<lab::Tally> tens;
-  for (const auto& r : outcomes) {
-    tens.resize(std::max(tens.size(), r->by_ten.size()));
-    for (std::size_t k = 0; k < r->by_ten.size(); ++k) tens[k].add(r->by_ten[k]);
+  std::vector<lab::Tally> buckets;
+  for (const auto& outcome : outcomes) {
+    buckets.resize(std::max(buckets.size(), outcome->by_ten.size()));
+    for (std::size_t index = 0; index < outcome->by_ten.size(); ++index)
+      buckets[index].add(outcome->by_ten[index]);
   }
   std::string by_ten;
-  for (const auto& t : tens) by_ten += fmt::format(" {:.3f}", t.service());
+  for (const auto& tally : buckets) by_ten += fmt::format(" {:.3f}", tally.service());
   std::printf("  service by 10 s:%s\n", by_ten.c_str());
-  for (std::size_t z = 0; z < day.zones.size(); ++z) {
+  for (std::size_t zone = 0; zone < day.zones.size(); ++zone) {
     std::string parts;
-    for (std::size_t ten = 0; ten * 10 < static_cast<std::size_t>(day.length.seconds()); ++ten) {
-      double own = 0, every = 0;
-      for (const auto& r : outcomes)
-        for (const auto& m : r->moments)
-          if (m.at > 10.0 * static_cast<double>(ten) && m.at <= 10.0 * static_cast<double>(ten + 1))
-            for (std::size_t y = 0; y < m.zone_tries.size(); ++y)
-              every += m.zone_tries[y], own += y == z ? m.zone_tries[y] : 0;
-      parts += fmt::format(" {:.3f}", every > 0 ? own / every : 0);
+    for (std::size_t bucket = 0; bucket * 10 < static_cast<std::size_t>(day.length.seconds()); ++bucket) {
+      double zone_tries = 0, all_tries = 0;
+      for (const auto& outcome : outcomes)
+        for (const auto& moment : outcome->moments)
+          if (moment.at > 10.0 * static_cast<double>(bucket) &&
+              moment.at <= 10.0 * static_cast<double>(bucket + 1))
+            for (std::size_t target = 0; target < moment.zone_tries.size(); ++target)
+              all_tries += moment.zone_tries[target],
+                  zone_tries += target == zone ? moment.zone_tries[target] : 0;
+      parts += fmt::format(" {:.3f}", all_tries > 0 ? zone_tries / all_tries : 0);
     }
-    std::printf("%s\n", fmt::format("  part of {} by 10 s:{}", day.zones[z], parts).c_str());
+    std::printf("%s\n", fmt::format("  share of {} by 10 s:{}", day.zones[zone], parts).c_str());
   }
   row(
       "worst 10 s, mean of the runs",
       [&] {
         double sum = 0;
-        for (const double v : worst) sum += v;
+        for (const double value : worst) sum += value;
         return sum / static_cast<double>(worst.size());
       }(),
       fmt::format("lowest {:.4f}", *std::min_element(worst.begin(), worst.end())));
-  row("1 nobody to pick, s", bare, fmt::format("of {:.1f}", day.unserved.seconds()));
-  row("3 sent to a draining worker, s after", drained, fmt::format("of {:.1f}", day.drain_grace.seconds()));
-  row("4 brought to a cold worker, times its capacity", cold, fmt::format("of {:.1f}", day.tip_multiple));
+  row("1 nobody to pick, s", unserved, fmt::format("of {:.1f}", day.unserved.seconds()));
+  row("3 sent to a draining worker, s after", drain_overrun,
+      fmt::format("of {:.1f}", day.drain_grace.seconds()));
+  row("4 brought to a cold worker, times its capacity", cold_load,
+      fmt::format("of {:.1f}", day.tip_multiple));
   row("5 lines waiting", waiting, fmt::format("of {:.0f}", day.backlog));
   row("crossings, of tries", tries > 0 ? static_cast<double>(crossings) / static_cast<double>(tries) : 0,
-      fmt::format("{} tries, {} of them further ones", tries, further));
+      fmt::format("{} tries, {} of them further ones", tries, further_tries));
   if (day.shared) {
-    row("unled, s, middle", quantile(unled, 0.5),
-        fmt::format("p99 {:.3f}, longest {:.3f}, of {}; lease {:.1f}", quantile(unled, 0.99),
-                    quantile(unled, 1), unled.size(), day.lease.seconds()));
-    row("orders of a lower term obeyed", static_cast<double>(lower),
-        fmt::format("{} refused, {} take-overs, {} changes cut in two", refused, takeovers, half));
-    row("bytes a second between controllers", static_cast<double>(bytes) / simulated,
+    row("time without a leader, s, median", quantile(leaderless, 0.5),
+        fmt::format("p99 {:.3f}, longest {:.3f}, of {}; lease {:.1f}", quantile(leaderless, 0.99),
+                    quantile(leaderless, 1), leaderless.size(), day.lease.seconds()));
+    row("stale-term orders obeyed", static_cast<double>(stale_orders),
+        fmt::format("{} refused, {} takeovers, {} partially applied changes", refused_terms, takeovers,
+                    partial_changes));
+    row("bytes per second between controllers", static_cast<double>(cluster_bytes) / simulated,
         fmt::format("{} controllers", day.coordinators.size()));
   }
   double moved = 0;
-  for (const auto& r : outcomes) moved += r->moved / static_cast<double>(outcomes.size());
+  for (const auto& outcome : outcomes) moved += outcome->moved / static_cast<double>(outcomes.size());
   row("work moved from zone to zone, times all of it", moved, "by forwarders' tables");
-  std::printf("%s", back_after(day, outcomes).c_str());
+  std::printf("%s", recovery_report(day, outcomes).c_str());
   std::printf("  runs with a broken rule: %llu\n", static_cast<unsigned long long>(broken));
   return broken == 0 ? kExitSuccess : kExitRuleViolated;
 }
--- a/src/app/simulate.hpp
+++ b/src/app/simulate.hpp
@@ -1,4 +1,4 @@
-// `gorsemount simulate`: a scripted day under the virtual clock, over many seeds.
+// `gorsemount simulate`: runs a scripted day on a virtual clock with many seeds.
 #pragma once
 
 #include <cstdint>
@@ -9,13 +9,13 @@
 
 struct SimulateOptions {
   std::string day;
-  std::uint64_t first = 1;
-  int seeds = 1, jobs = 1, faults = 0;
-  bool fences = true, keeps = false;
-  std::string by = "module";         // module, equal, zone-local or oracle: what decides
-  std::vector<std::string> changes;  // of the coordinators' settings: block.name=value
+  std::uint64_t first_seed = 1;
+  int seeds = 1, jobs = 1, fault_count = 0;  // jobs: runs in parallel; fault_count: random faults in each run
+  bool fencing = true, durable = false;      // durable: a restarted coordinator recovers its stored facts
+  std::string decider = "module";            // module, equal, zone-local or oracle
+  std::vector<std::string> changes;          // overrides of the coordinators' settings: block.name=value
 };
-// Exit codes as for a day on loopback.
+// Returns the same exit codes as `gorsemount day`.
 [[nodiscard]] int simulate(const SimulateOptions& options);
 
 }  // namespace gorsemount::app
--- a/src/app/store.cpp
+++ b/src/app/store.cpp
@@ -30,81 +30,83 @@
 }
 
 recovery::ClockReading read_clocks() {
-  recovery::ClockReading c;
-  std::ifstream{"/proc/sys/kernel/random/boot_id"} >> c.boot_id;
-  c.monotonic_us = (net::monotonic_now() - Instant{}).micros();
-  c.wall_us = std::chrono::duration_cast<std::chrono::microseconds>(
-                  std::chrono::system_clock::now().time_since_epoch())
-                  .count();
-  return c;
+  recovery::ClockReading clocks;
+  std::ifstream{"/proc/sys/kernel/random/boot_id"} >> clocks.boot_id;
+  clocks.monotonic_us = (net::monotonic_now() - Instant{}).micros();
+  clocks.wall_us = std::chrono::duration_cast<std::chrono::microseconds>(
+                       std::chrono::system_clock::now().time_since_epoch())
+                       .count();
+  return clocks;
 }
 
-int store_tool(const StoreOptions& o) {
+int store_tool(const StoreOptions& options) {
   try {
-    store::StoreSettings s;
-    s.owner = o.who;
-    if (!o.key_file.empty()) s.key = read_store_key(o.key_file);
-    if (o.action == "forget") {
-      const auto disk = store::open_directory(o.folder);  // refused while a coordinator has it
+    store::StoreSettings settings;
+    settings.owner = options.owner;
+    if (!options.key_file.empty()) settings.key = read_store_key(options.key_file);
+    if (options.action == "forget") {
+      const auto disk =
+          store::open_directory(options.folder);  // fails while a coordinator has the store open
       for (const auto& name : disk->list()) disk->remove(name);
       disk->sync_directory();
       return kExitSuccess;
     }
-    const auto disk = store::open_directory(o.folder, true);
-    if (o.action == "verify") {
-      bool good = true;
-      for (const auto& c : store::verify(*disk, s)) {
-        std::printf("%s\n",
-                    fmt::format("{}: {} records, {} of {} bytes good, snapshot {}{}{}", c.file, c.records,
-                                c.valid_bytes, c.bytes, c.snapshot_complete ? "whole" : "NOT WHOLE",
-                                c.fault.empty() ? "" : "; ", c.fault)
-                        .c_str());
-        good = good && c.fault.empty() && c.snapshot_complete;
+    const auto disk = store::open_directory(options.folder, true);
+    if (options.action == "verify") {
+      bool all_valid = true;
+      for (const auto& check : store::verify(*disk, settings)) {
+        std::printf("%s\n", fmt::format("{}: {} records, {} of {} bytes valid, snapshot {}{}{}", check.file,
+                                        check.records, check.valid_bytes, check.bytes,
+                                        check.snapshot_complete ? "whole" : "NOT WHOLE",
+                                        check.fault.empty() ? "" : "; ", check.fault)
+                                .c_str());
+        all_valid = all_valid && check.fault.empty() && check.snapshot_complete;
       }
-      return good ? kExitSuccess : kExitInvalidConfig;
+      return all_valid ? kExitSuccess : kExitInvalidConfig;
     }
     const auto now = read_clocks();
-    const auto loaded = store::load(*disk, s, now);
-    for (const auto& fault : loaded.faults) std::fprintf(stderr, "%s\n", fault.c_str());
+    const auto loaded = store::load(*disk, settings, now);
+    for (const auto& error : loaded.faults) std::fprintf(stderr, "%s\n", error.c_str());
     if (!loaded.empty_reason.empty()) {
-      std::fprintf(stderr, "%s: %s\n", o.folder.c_str(), loaded.empty_reason.c_str());
+      std::fprintf(stderr, "%s: %s\n", options.folder.c_str(), loaded.empty_reason.c_str());
       return kExitInvalidConfig;
     }
-    const bool json = o.action == "export";
+    const bool json = options.action == "export";
     if (!json)
       std::printf("%s\n",
-                  fmt::format("generation {}, {} facts, last known to hold {} ago{}", loaded.generation,
+                  fmt::format("generation {}, {} facts, last confirmed {} ago{}", loaded.generation,
                               loaded.entries.size(),
                               loaded.age.elapsed ? config::span_text(*loaded.age.elapsed) : "an unknown time",
                               loaded.age.clock_anomaly.empty() ? "" : "; " + loaded.age.clock_anomaly)
                       .c_str());
-    constexpr const char* weights[] = {"acts", "hint", "nothing"};
-    for (const auto& e : loaded.entries) {
-      const auto weight = loaded.age.elapsed ? recovery::classify(e.subject.kind, *loaded.age.elapsed)
-                                             : recovery::FactUse::hint;
+    constexpr const char* use_names[] = {"acts", "hint", "nothing"};
+    for (const auto& entry : loaded.entries) {
+      const auto use = loaded.age.elapsed ? recovery::classify(entry.subject.kind, *loaded.age.elapsed)
+                                          : recovery::FactUse::hint;
       if (json) {
-        nlohmann::json j{{"kind", recovery::name_of(e.subject.kind)},
-                         {"name", e.subject.name},
-                         {"machine", e.fact.instance},
-                         {"figures", e.fact.figures},
-                         {"weight", weights[static_cast<int>(weight)]}};
-        for (const auto& [name, t] : e.fact.times)
-          j["times_s"][name] = (t - Instant{} - Span::micros(now.monotonic_us)).seconds();
-        std::printf("%s\n", j.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace).c_str());
+        nlohmann::json object{{"kind", recovery::name_of(entry.subject.kind)},
+                              {"name", entry.subject.name},
+                              {"machine", entry.fact.instance},
+                              {"figures", entry.fact.figures},
+                              {"weight", use_names[static_cast<int>(use)]}};
+        for (const auto& [name, time] : entry.fact.times)
+          object["times_s"][name] = (time - Instant{} - Span::micros(now.monotonic_us)).seconds();
+        std::printf("%s\n", object.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace).c_str());
       } else {
         std::string figures;
-        for (const auto& [name, value] : e.fact.figures) figures += fmt::format(" {}={:.4g}", name, value);
-        for (const auto& [name, t] : e.fact.times)
-          figures +=
-              fmt::format(" {}={:+.1f}s", name, (t - Instant{} - Span::micros(now.monotonic_us)).seconds());
-        std::printf("%s\n", fmt::format("  {:<8} {:<15} {:<24}{}", weights[static_cast<int>(weight)],
-                                        recovery::name_of(e.subject.kind), e.subject.name, figures)
+        for (const auto& [name, value] : entry.fact.figures)
+          figures += fmt::format(" {}={:.4g}", name, value);
+        for (const auto& [name, time] : entry.fact.times)
+          figures += fmt::format(" {}={:+.1f}s", name,
+                                 (time - Instant{} - Span::micros(now.monotonic_us)).seconds());
+        std::printf("%s\n", fmt::format("  {:<8} {:<15} {:<24}{}", use_names[static_cast<int>(use)],
+                                        recovery::name_of(entry.subject.kind), entry.subject.name, figures)
                                 .c_str());
       }
     }
     return kExitSuccess;
-  } catch (const std::exception& fault) {
-    std::fprintf(stderr, "gorsemount: %s\n", fault.what());
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "gorsemount: %s\n", error.what());
     return kExitFailure;
   }
 }
--- a/src/app/store.hpp
+++ b/src/app/store.hpp
@@ -1,4 +1,4 @@
-// `gorsemount store ...`, and what `serve` shares with it.
+// `gorsemount store ...`: inspects a coordinator's stored facts; helpers that `serve` uses too.
 #pragma once
 
 #include <string>
@@ -8,12 +8,13 @@
 namespace gorsemount::app {
 
 struct StoreOptions {
-  std::string action, folder, who, key_file;
+  std::string action, folder, owner, key_file;
 };
 [[nodiscard]] int store_tool(const StoreOptions& options);
 
-// One line of 64 hex digits. Throws std::runtime_error.
+// Reads a key file: one line of 64 hex digits. Throws std::runtime_error.
 [[nodiscard]] store::MacKey read_store_key(const std::string& file);
+// The boot id with the current monotonic and wall-clock time.
 [[nodiscard]] recovery::ClockReading read_clocks();
 
 }  // namespace gorsemount::app
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -1,4 +1,4 @@
-// Structured logs: one JSON object a line, with time, level, program, event and the event's own fields.
+// Structured logging: one JSON object per line with time, level, program, event and the event's own fields.
 #pragma once
 
 #include <memory>
@@ -17,7 +17,7 @@
 
 class Log {
  public:
-  // To standard error if `file` is empty. Throws std::runtime_error if the file can't be opened.
+  // Logs to standard error if `file` is empty. Throws std::runtime_error if the file can't be opened.
   Log(std::string program, const std::string& level, const std::string& file);
   ~Log();
   Log(const Log&) = delete;
--- a/tests/app/coordinator_process_test.cpp
+++ b/tests/app/coordinator_process_test.cpp
@@ -1,5 +1,5 @@
-// `gorsemount coordinator` as a process: its configuration, SIGHUP, SIGTERM, a kill, beside a stand-in of
-// discovery.
+// `gorsemount coordinator` as a process, with a fake discovery service: configuration, reload, shutdown,
+// kill.
 #include <arpa/inet.h>
 #include <fcntl.h>
 #include <gtest/gtest.h>
@@ -27,11 +27,11 @@
 using namespace std::chrono_literals;
 namespace fs = std::filesystem;
 
-std::string row(const std::string& host) {
+std::string backend_row(const std::string& host) {
   return R"({"host":")" + host +
          R"(","dial":"127.0.0.1:1","site":"a","class":"m","block":1,"health":"Ready","share":1.0,"born_ms":0})";
 }
-std::string whole(int seq, const std::string& rows) {
+std::string full_list(int seq, const std::string& rows) {
   return R"({"seq":)" + std::to_string(seq) + R"(,"whole":true,"hosts":[)" + rows + "]}";
 }
 
@@ -44,12 +44,12 @@
 std::string config(const std::string& discovery, const std::string& settings = kSettings) {
   return R"({"name":"n0","listen":"127.7.7.11:17031","discovery":")" + discovery +
          R"(","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":64,"sockets":256},"known":)" +
-         whole(1, row("s-1")) + R"(,"settings":)" + settings + "}";
+         full_list(1, backend_row("s-1")) + R"(,"settings":)" + settings + "}";
 }
 
 // ---- The configuration ------------------------------------------------------------------------------------
 
-TEST(CoordinatorConfig, VariablesStandInForWhatTheFileLeavesOut) {
+TEST(CoordinatorConfig, EnvironmentVariablesReplaceMissingFields) {
   const auto text = R"({"seed":"ff","settings":)" + std::string{kSettings} + "}";
   const auto c = parse_coordinator_config(text, [](const char* name) -> std::optional<std::string> {
     const std::string n = name;
@@ -58,18 +58,19 @@
   EXPECT_EQ(c.name, "n3");
   EXPECT_EQ(c.listen.text(), "127.0.0.4:7070");
   EXPECT_EQ(c.seed, 255U);
-  EXPECT_FALSE(c.known);
+  EXPECT_FALSE(c.initial_backends);
 }
 
-TEST(CoordinatorConfig, TheExampleIsWhole) {
+TEST(CoordinatorConfig, ExampleFileIsValid) {
   const auto c = read_coordinator_config(
       [](const char*) { return std::optional<std::string>{GORSEMOUNT_EXAMPLE_FILE}; });
-  EXPECT_EQ(c.known->rows.size(), 2U);
-  EXPECT_EQ(c.labels.operations.size(), c.settings.operations.size());
+  EXPECT_EQ(c.initial_backends->rows.size(), 2U);
+  EXPECT_EQ(c.id_names.operations.size(), c.settings.operations.size());
 }
 
-TEST(CoordinatorConfig, FaultsSayWhatAndWhere) {
-  const auto fault = [](std::string text, const std::string& from, const std::string& to) -> std::string {
+TEST(CoordinatorConfig, ErrorsNameTheFieldAndTheReason) {
+  const auto parse_error = [](std::string text, const std::string& from,
+                              const std::string& to) -> std::string {
     if (const auto at = text.find(from); at != std::string::npos) text.replace(at, from.size(), to);
     try {
       (void)parse_coordinator_config(text, [](const char*) { return std::nullopt; });
@@ -79,71 +80,72 @@
     return "none";
   };
   const auto good = config("127.7.7.11:17032");
-  EXPECT_EQ(fault(good, "", ""), "none");
-  EXPECT_EQ(fault(good, "127.7.7.11:17031", "here"), "config: 'listen' is no address and port: here");
-  EXPECT_EQ(fault(good, R"("discovery":"127.7.7.11:17032",)", ""),
+  EXPECT_EQ(parse_error(good, "", ""), "none");
+  EXPECT_EQ(parse_error(good, "127.7.7.11:17031", "here"),
+            "config: 'listen' is not an address and port: here");
+  EXPECT_EQ(parse_error(good, R"("discovery":"127.7.7.11:17032",)", ""),
             "config: 'discovery' is missing, and so is GW_DISCOVERY");
-  EXPECT_EQ(fault(good, "8c1f", "xyzw"), "config: 'seed' is no number in hex of 64 bits");
-  EXPECT_EQ(fault(good, R"("share":1.0)", R"("share":"x")"),
+  EXPECT_EQ(parse_error(good, "8c1f", "xyzw"), "config: 'seed' is not a 64-bit hexadecimal number");
+  EXPECT_EQ(parse_error(good, R"("share":1.0)", R"("share":"x")"),
             "config.known.hosts[0]: 'share' is not a number");
-  EXPECT_EQ(fault(good, R"("lanes")", R"("lines")"), "config.settings: 'lanes' is missing");
-  EXPECT_NE(fault(good, "}", ""), "none");
-  // Kinds that are not supported are named, not taken for a default.
-  EXPECT_EQ(fault(good, R"("discovery":"subscribe")", R"("discovery":"hourly")"),
+  EXPECT_EQ(parse_error(good, R"("lanes")", R"("lines")"), "config.settings: 'lanes' is missing");
+  EXPECT_NE(parse_error(good, "}", ""), "none");
+  // Unsupported values are rejected, not replaced by a default.
+  EXPECT_EQ(parse_error(good, R"("discovery":"subscribe")", R"("discovery":"hourly")"),
             "config.settings: 'discovery' is not known: hourly");
-  EXPECT_EQ(fault(good, R"("level-kind":"rate")", R"("level-kind":"turns")"),
+  EXPECT_EQ(parse_error(good, R"("level-kind":"rate")", R"("level-kind":"turns")"),
             "config.settings.family-info: 'level-kind' is not known: turns");
-  EXPECT_EQ(fault(good, R"("proxies":1,)", R"("proxies":1,"ranges":12,)"),
+  EXPECT_EQ(parse_error(good, R"("proxies":1,)", R"("proxies":1,"ranges":12,)"),
             "config.settings.family-info: 'ranges' is above 0: key ranges are not supported");
-  EXPECT_EQ(fault(good, R"("proxies":1,)", R"("proxies":1,"one-owner":true,)"),
+  EXPECT_EQ(parse_error(good, R"("proxies":1,)", R"("proxies":1,"one-owner":true,)"),
             "config.settings.family-info: 'one-owner' is true: owners of key ranges are not supported");
-  EXPECT_EQ(fault(good, R"("proxies":1,)", R"("proxies":70000,)"),
+  EXPECT_EQ(parse_error(good, R"("proxies":1,)", R"("proxies":70000,)"),
             "config.settings.family-info: 'proxies' is above 65536");
-  EXPECT_EQ(fault(good, R"("fleet-size":1)", R"("fleet-size":0)"),
+  EXPECT_EQ(parse_error(good, R"("fleet-size":1)", R"("fleet-size":0)"),
             "config.settings: 'fleet-size' is below 1");
-  EXPECT_EQ(fault(good, R"("zones":["a"])", R"("zones":["a","b","a"])"),
+  EXPECT_EQ(parse_error(good, R"("zones":["a"])", R"("zones":["a","b","a"])"),
             "config.settings: 'zones' holds a name twice");
-  EXPECT_EQ(fault(good, R"("zones":["a"])", R"("zones":[])"), "config.settings: 'zones' is empty");
+  EXPECT_EQ(parse_error(good, R"("zones":["a"])", R"("zones":[])"), "config.settings: 'zones' is empty");
 }
 
 // ---- The process ------------------------------------------------------------------------------------------
 
-// Discovery on a thread: gives its list to whoever watches, then an empty line now and then.
-class Discovery {
+// A fake discovery service on its own thread: sends its list to each watch, then an empty line every 50 ms.
+class FakeDiscovery {
  public:
-  Discovery(const std::string& at, std::string list)
+  FakeDiscovery(const std::string& at, std::string list)
       : thread_{[this, at, list = std::move(list)] {
           net::Loop loop;
-          std::vector<std::shared_ptr<net::Connection>> watches;
+          std::vector<std::shared_ptr<net::Connection>> watch_connections;
           net::Listener listener{
               loop, *Endpoint::parse(at), [&](net::Fd fd, const Endpoint&) {
-                const auto slot = watches.size();
-                watches.push_back(net::Connection::make(
+                const auto slot = watch_connections.size();
+                watch_connections.push_back(net::Connection::make(
                     loop, std::move(fd), {},
                     [&, slot](std::string_view in) {
                       char size[16];
                       std::snprintf(size, sizeof size, "%zx", list.size() + 1);
-                      watches[slot]->send(
+                      watch_connections[slot]->send(
                           std::string{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"} + size +
                           "\r\n" + list + "\n\r\n");
-                      ++asked;
+                      ++requests;
                       return in.size();
                     },
                     [](const char*) {}));
               }};
-          std::function<void()> beat = [&] {
-            for (const auto& w : watches) w->send("1\r\n\n\r\n");
+          std::function<void()> send_heartbeat = [&] {
+            for (const auto& w : watch_connections) w->send("1\r\n\n\r\n");
             if (stop_) return loop.stop();
-            loop.after(Span::seconds(0.05), beat);
+            loop.after(Span::seconds(0.05), send_heartbeat);
           };
-          beat();
+          send_heartbeat();
           loop.run();
         }} {}
-  ~Discovery() {
+  ~FakeDiscovery() {
     stop_ = true;
     thread_.join();
   }
-  std::atomic<int> asked = 0;
+  std::atomic<int> requests = 0;
 
  private:
   std::atomic<bool> stop_ = false;
@@ -170,7 +172,7 @@
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
   void signal(int number) const { ::kill(pid_, number); }
-  int wait() {  // its exit code; -1: a signal ended it, or it did not end within 5 s
+  int wait() {  // exit code; -1: ended by a signal, or still running after 5 s
     int status = 0;
     for (int k = 0; k < 500; ++k) {
       if (::waitpid(pid_, &status, WNOHANG) == pid_) {
@@ -186,47 +188,47 @@
   pid_t pid_ = 0;
 };
 
-class Stream {
+class ProxyStream {
  public:
-  Stream() {
+  ProxyStream() {
     sockaddr_in to{};
     to.sin_family = AF_INET, to.sin_port = htons(17031);
     inet_pton(AF_INET, "127.7.7.11", &to.sin_addr);
-    for (int k = 0; k < 500; ++k) {  // until it listens
+    for (int k = 0; k < 500; ++k) {  // until the coordinator listens
       fd_ = net::Fd{::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)};
       if (::connect(fd_.get(), reinterpret_cast<const sockaddr*>(&to), sizeof to) == 0) return;
       std::this_thread::sleep_for(10ms);
     }
-    ADD_FAILURE() << "nobody listens";
+    ADD_FAILURE() << "the coordinator does not listen";
   }
   void send(const std::string& text) { (void)!::send(fd_.get(), text.data(), text.size(), MSG_NOSIGNAL); }
-  // Waits until `text` has come, 4 s at most.
-  bool sees(const std::string& text, std::chrono::seconds most = 4s) {
-    const auto end = std::chrono::steady_clock::now() + most;
-    while (got_.find(text) == std::string::npos && std::chrono::steady_clock::now() < end) {
+  // Waits until `text` has been received, for at most `timeout`.
+  bool receives(const std::string& text, std::chrono::seconds timeout = 4s) {
+    const auto end = std::chrono::steady_clock::now() + timeout;
+    while (received_.find(text) == std::string::npos && std::chrono::steady_clock::now() < end) {
       pollfd p{fd_.get(), POLLIN, 0};
-      char part[4096];
+      char buffer[4096];
       if (::poll(&p, 1, 50) > 0) {
-        const ssize_t n = ::recv(fd_.get(), part, sizeof part, 0);
-        if (n <= 0) return ended_ = true, false;
-        got_.append(part, static_cast<std::size_t>(n));
+        const ssize_t n = ::recv(fd_.get(), buffer, sizeof buffer, 0);
+        if (n <= 0) return closed_ = true, false;
+        received_.append(buffer, static_cast<std::size_t>(n));
       }
     }
-    return got_.find(text) != std::string::npos;
+    return received_.find(text) != std::string::npos;
   }
-  bool ended() const { return ended_; }
-  bool ends_in_order() {  // an end, not a reset
+  bool is_closed() const { return closed_; }
+  bool closes_cleanly() {  // closed by FIN, not by RST
     pollfd p{fd_.get(), POLLIN, 0};
-    char part[4096];
+    char buffer[4096];
     ssize_t n = 1;
-    while (n > 0 && ::poll(&p, 1, 2000) > 0) n = ::recv(fd_.get(), part, sizeof part, 0);
+    while (n > 0 && ::poll(&p, 1, 2000) > 0) n = ::recv(fd_.get(), buffer, sizeof buffer, 0);
     return n == 0;
   }
 
  private:
   net::Fd fd_;
-  std::string got_;
-  bool ended_ = false;
+  std::string received_;
+  bool closed_ = false;
 };
 
 struct CoordinatorProcess : ::testing::Test {
@@ -243,13 +245,13 @@
     all << std::ifstream{file + ".log"}.rdbuf();
     return all.str();
   }
-  bool logs(const std::string& text) const {
+  bool wait_for_log(const std::string& text) const {
     for (int k = 0; k < 200 && log().find(text) == std::string::npos; ++k) std::this_thread::sleep_for(20ms);
     return log().find(text) != std::string::npos;
   }
 };
 
-TEST_F(CoordinatorProcess, ABadConfigurationAtTheStartIsNamedAndHasItsOwnExitCode) {
+TEST_F(CoordinatorProcess, InvalidConfigurationAtStartIsReportedWithExitCode2) {
   EXPECT_EQ(Process{file}.wait(), 2);
   EXPECT_NE(log().find("config.json: can't be read"), std::string::npos);
   write("{\"name\":");
@@ -260,85 +262,86 @@
   EXPECT_NE(log().find("config.settings: 'family-info' is missing"), std::string::npos);
 }
 
-TEST_F(CoordinatorProcess, ServesReloadsAndEndsOnSigterm) {
-  Discovery old{"127.7.7.11:17032", whole(2, row("s-1") + "," + row("s-2"))};
+TEST_F(CoordinatorProcess, ServesReloadsAndStopsOnSigterm) {
+  FakeDiscovery old{"127.7.7.11:17032", full_list(2, backend_row("s-1") + "," + backend_row("s-2"))};
   write(config("127.7.7.11:17032"));
-  Process p{file};
-  Stream s;
+  Process process{file};
+  ProxyStream s;
   s.send("ping\r\n");
-  ASSERT_TRUE(s.sees("pong\r\n"));
+  ASSERT_TRUE(s.receives("pong\r\n"));
   s.send("joined sidecar=0 az=a share=5 standing=1\r\n");
-  ASSERT_TRUE(s.sees("full=1"));
-  EXPECT_TRUE(s.sees("s-2:"));
+  ASSERT_TRUE(s.receives("full=1"));
+  EXPECT_TRUE(s.receives("s-2:"));
 
   write("not a configuration");
-  p.signal(SIGHUP);
-  EXPECT_TRUE(logs("reload_refused"));
-  Discovery fresh{"127.7.7.11:17033", whole(3, row("s-1") + "," + row("s-2") + "," + row("s-3"))};
+  process.signal(SIGHUP);
+  EXPECT_TRUE(wait_for_log("reload_refused"));
+  FakeDiscovery fresh{"127.7.7.11:17033",
+                      full_list(3, backend_row("s-1") + "," + backend_row("s-2") + "," + backend_row("s-3"))};
   write(config("127.7.7.11:17033"));
-  p.signal(SIGHUP);
-  EXPECT_TRUE(s.sees("s-3:"));  // the stream lives on and hears what the new address lists
-  EXPECT_EQ(fresh.asked, 1);
-  EXPECT_FALSE(s.ended());
+  process.signal(SIGHUP);
+  EXPECT_TRUE(s.receives("s-3:"));  // the stream stays open and gets the list of the new address
+  EXPECT_EQ(fresh.requests, 1);
+  EXPECT_FALSE(s.is_closed());
 
   const auto before = std::chrono::steady_clock::now();
-  p.signal(SIGTERM);
-  EXPECT_EQ(p.wait(), 0);
+  process.signal(SIGTERM);
+  EXPECT_EQ(process.wait(), 0);
   EXPECT_LT(std::chrono::steady_clock::now() - before, 600ms);
 }
 
-// The file is a pipe: whoever has it open for writing knows that the process is reading it, before its first
-// turn.
-TEST_F(CoordinatorProcess, SigtermBeforeTheFirstTurnEndsItWell) {
+// A signal that arrives before the event loop runs must not kill the process. The configuration file is a
+// FIFO: once it is open for writing, the process is known to be reading it and not yet in its loop.
+TEST_F(CoordinatorProcess, SigtermBeforeTheEventLoopRunsExitsCleanly) {
   for (const std::vector<int>& signals :
        {std::vector{SIGTERM}, std::vector{SIGHUP, SIGTERM}, std::vector{SIGTERM, SIGTERM, SIGINT, SIGHUP}}) {
     ASSERT_EQ(::mkfifo(file.c_str(), 0600), 0);
-    Process p{file};
+    Process process{file};
     const net::Fd pipe{::open(file.c_str(), O_WRONLY | O_CLOEXEC)};
     const auto text = config("127.7.7.11:17032");
-    write(text);  // what SIGHUP finds
-    for (const int signal : signals) p.signal(signal);
+    write(text);  // read on SIGHUP
+    for (const int signal : signals) process.signal(signal);
     ASSERT_EQ(::write(pipe.get(), text.data(), text.size()), static_cast<ssize_t>(text.size()));
     const_cast<net::Fd&>(pipe).reset();
-    EXPECT_EQ(p.wait(), 0);
+    EXPECT_EQ(process.wait(), 0);
     fs::remove(file);
   }
 }
 
-// It is stopped while all this comes, so that it wakes to the signal and to everything else in one turn.
-TEST_F(CoordinatorProcess, SigtermAmidEverythingAnswersWhoWaits) {
-  Discovery discovery{"127.7.7.11:17032", whole(2, row("s-1"))};
+// The process is paused while data, connections and signals arrive, so that it handles all of them in one
+// loop iteration after SIGCONT.
+TEST_F(CoordinatorProcess, SigtermWithPendingInputAnswersAllConnections) {
+  FakeDiscovery discovery{"127.7.7.11:17032", full_list(2, backend_row("s-1"))};
   auto text = config("127.7.7.11:17032");
   text.replace(text.find("\"proxies\":1,"), 12, "\"proxies\":2,");
   write(text);
-  Process p{file};
-  Stream stream, half;
+  Process process{file};
+  ProxyStream stream, partial;
   stream.send("joined sidecar=0 az=a share=5 standing=1\r\n");
-  ASSERT_TRUE(stream.sees("s-1:"));
-  half.send("ping\r\njoined side");
-  ASSERT_TRUE(half.sees("pong\r\n"));
-  p.signal(SIGSTOP);
+  ASSERT_TRUE(stream.receives("s-1:"));
+  partial.send("ping\r\njoined side");
+  ASSERT_TRUE(partial.receives("pong\r\n"));
+  process.signal(SIGSTOP);
   stream.send("usage sidecar=0 kind=lookup n=4 bad=0 window=1\r\nping\r\n");
-  Stream asks, joins, silent;  // in the kernel's queue
-  asks.send("ping\r\n");
-  joins.send("joined sidecar=1 az=a share=5 standing=1\r\n");
-  write(config("127.7.7.11:17033"));  // where nobody listens: a dial is under way too
-  p.signal(SIGHUP);
-  p.signal(SIGTERM);
+  ProxyStream pinging, joining, silent;  // in the listen backlog
+  pinging.send("ping\r\n");
+  joining.send("joined sidecar=1 az=a share=5 standing=1\r\n");
+  write(config("127.7.7.11:17033"));  // no listener there: a connection attempt is in progress too
+  process.signal(SIGHUP);
+  process.signal(SIGTERM);
   const auto before = std::chrono::steady_clock::now();
-  p.signal(SIGCONT);
-  EXPECT_TRUE(stream.sees("pong\r\n"));
-  EXPECT_TRUE(asks.sees("pong\r\nrefused"));
-  for (Stream* s : {&half, &silent}) EXPECT_TRUE(s->sees("refused reason=shutting-down\r\n"));
-  // Which of the descriptors that are ready comes first is the kernel's: it may have joined before the signal
-  // is read.
-  for (Stream* s : {&stream, &asks, &half, &joins, &silent}) EXPECT_TRUE(s->ends_in_order());
-  EXPECT_EQ(p.wait(), 0);
+  process.signal(SIGCONT);
+  EXPECT_TRUE(stream.receives("pong\r\n"));
+  EXPECT_TRUE(pinging.receives("pong\r\nrefused"));
+  for (ProxyStream* s : {&partial, &silent}) EXPECT_TRUE(s->receives("refused reason=shutting-down\r\n"));
+  // The order of ready descriptors is up to the kernel: `joining` may be accepted before the signal is read.
+  for (ProxyStream* s : {&stream, &pinging, &partial, &joining, &silent}) EXPECT_TRUE(s->closes_cleanly());
+  EXPECT_EQ(process.wait(), 0);
   EXPECT_LT(std::chrono::steady_clock::now() - before, 600ms);
 }
 
-TEST_F(CoordinatorProcess, AFleetBeyondTheDescriptorsIsTakenInAsFarAsTheyGoAndTheRestIsTold) {
-  Discovery discovery{"127.7.7.11:17032", whole(2, row("s-1"))};
+TEST_F(CoordinatorProcess, ProxiesBeyondTheDescriptorLimitAreRefused) {
+  FakeDiscovery discovery{"127.7.7.11:17032", full_list(2, backend_row("s-1"))};
   auto text = config("127.7.7.11:17032");
   const auto replace = [&](const std::string& from, const std::string& to) {
     text.replace(text.find(from), from.size(), to);
@@ -346,49 +349,49 @@
   replace("\"proxies\":1,", "\"proxies\":2400,");
   replace("\"sockets\":256", "\"sockets\":64");
   write(text);
-  Process p{file};
-  std::vector<std::unique_ptr<Stream>> herd;
+  Process process{file};
+  std::vector<std::unique_ptr<ProxyStream>> streams;
   for (int k = 0; k < 30; ++k) {
-    herd.push_back(std::make_unique<Stream>());
-    herd.back()->send("ping\r\njoined sidecar=" + std::to_string(k));
-    ASSERT_TRUE(herd.back()->sees("pong\r\n"));
+    streams.push_back(std::make_unique<ProxyStream>());
+    streams.back()->send("ping\r\njoined sidecar=" + std::to_string(k));
+    ASSERT_TRUE(streams.back()->receives("pong\r\n"));
   }
-  for (const auto& s : herd) s->send(" az=a share=5 standing=1\r\n");
-  for (const auto& s : herd) EXPECT_TRUE(s->sees("full=1"));
-  int told = 0;
+  for (const auto& s : streams) s->send(" az=a share=5 standing=1\r\n");
+  for (const auto& s : streams) EXPECT_TRUE(s->receives("full=1"));
+  int refused = 0;
   for (int k = 30; k < 50; ++k) {
-    herd.push_back(std::make_unique<Stream>());
-    Stream& late = *herd.back();
+    streams.push_back(std::make_unique<ProxyStream>());
+    ProxyStream& late = *streams.back();
     late.send("joined sidecar=" + std::to_string(k) + " az=a share=5 standing=1\r\n");
-    ASSERT_TRUE(late.sees("\r\n"));
-    told += late.sees("refused reason=no-room\r\n", 0s) ? 1 : 0;
+    ASSERT_TRUE(late.receives("\r\n"));
+    refused += late.receives("refused reason=no-room\r\n", 0s) ? 1 : 0;
   }
-  EXPECT_EQ(told, 18);  // 40 places, of which 8 are kept for who has not joined: 32 streams
-  herd.resize(30);
-  for (const auto& s : herd) EXPECT_FALSE(s->ended());
+  EXPECT_EQ(refused, 18);  // 40 connections, 8 of them reserved for pending ones: 32 streams
+  streams.resize(30);
+  for (const auto& s : streams) EXPECT_FALSE(s->is_closed());
 }
 
-TEST_F(CoordinatorProcess, AKilledOneStartsAgainFromNothing) {
-  Discovery discovery{"127.7.7.11:17032", whole(2, row("s-1"))};
+TEST_F(CoordinatorProcess, RestartsWithoutStateAfterSigkill) {
+  FakeDiscovery discovery{"127.7.7.11:17032", full_list(2, backend_row("s-1"))};
   write(config("127.7.7.11:17032"));
-  for (int life = 0; life < 3; ++life) {
-    Process p{file};
-    Stream s;
+  for (int run = 0; run < 3; ++run) {
+    Process process{file};
+    ProxyStream s;
     s.send("joined sidecar=0 az=a share=5 standing=1\r\n");
-    ASSERT_TRUE(s.sees("s-1:")) << life;
-    p.signal(SIGKILL);
-    EXPECT_EQ(p.wait(), -1);
+    ASSERT_TRUE(s.receives("s-1:")) << run;
+    process.signal(SIGKILL);
+    EXPECT_EQ(process.wait(), -1);
   }
 }
 
-TEST_F(CoordinatorProcess, AnAddressInUseIsNamed) {
+TEST_F(CoordinatorProcess, AddressInUseIsReported) {
   write(config("127.7.7.11:17032"));
   Process first{file};
-  Stream s;
+  ProxyStream s;
   s.send("ping\r\n");
-  ASSERT_TRUE(s.sees("pong\r\n"));
+  ASSERT_TRUE(s.receives("pong\r\n"));
   EXPECT_EQ(Process{file}.wait(), 3);
-  EXPECT_TRUE(logs("127.7.7.11:17031"));
+  EXPECT_TRUE(wait_for_log("127.7.7.11:17031"));
 }
 
 }  // namespace
