--- a/src/app/coordinator.cpp
+++ b/src/app/coordinator.cpp
@@ -132,7 +132,7 @@
   // Input received in one loop iteration is handled as one batch.
   void schedule() {
     if (std::exchange(scheduled_, true)) return;
-    loop_.soon([this] { step(); });
+    loop_.call_soon([this] { step(); });
   }
 
   void step() {
--- a/src/app/record.cpp
+++ b/src/app/record.cpp
@@ -202,9 +202,9 @@
         variants.push_back(std::move(variant));
       }
     }
-    lab::WorldSettings world;
+    lab::SimulationSettings world;
     world.seed = options.first_seed,
-    world.list = !recording.invocations.empty() || !options.output_file.empty();
+    world.list_completions = !recording.invocations.empty() || !options.output_file.empty();
     std::string warning;
     if (!recording.invocations.empty()) {
       const auto played = lab::play(fitted.day, {variants.front()}, 1, 1, world, [](double) {});
@@ -226,7 +226,7 @@
             calibration.service_error, calibration.zone_error);
       std::printf("  %s\n", warning.empty() ? "matched" : warning.c_str());
     }
-    world.list = !options.output_file.empty();
+    world.list_completions = !options.output_file.empty();
     if (!options.window.empty()) {
       const auto played =
           lab::play_windows(fitted.day, variants,
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -18,10 +18,10 @@
 #include "coordinator/baseline.hpp"
 #include "coordinator/coordinator.hpp"
 #include "dns/server.hpp"
-#include "hears/prober.hpp"
 #include "log/log.hpp"
 #include "net/loop.hpp"
 #include "peers/peer_transport.hpp"
+#include "probes/prober.hpp"
 #include "record/recorder.hpp"
 #include "recovery/fact_confidence.hpp"
 #include "runtime_api/command_server.hpp"
@@ -44,8 +44,8 @@
     Span::seconds(0.25);  // between fact exchanges with other controllers, and between store writes
 const Span kStopGracePeriod = Span::seconds(0.5);  // for TCP answers that are being written at shutdown
 
-dns::FrontSettings front_settings(const ServeSettings& settings) {
-  dns::FrontSettings front;
+dns::ResponderSettings responder_settings(const ServeSettings& settings) {
+  dns::ResponderSettings front;
   front.origin = settings.dns.origin, front.hostmaster = settings.dns.hostmaster,
   front.nameservers = settings.dns.nameservers;
   front.address = settings.listen.address;
@@ -84,7 +84,7 @@
         core_{settings_.core, options_.fixed_weights ? coordinator::fixed_weights()
                                                      : coordinator::policy_decision_maker(settings_.core)},
         roster_{settings_.core, settings_.roster_file},
-        front_{front_settings(settings_), core_.group_map()},
+        responder_{responder_settings(settings_), core_.group_map()},
         prober_{loop_,
                 {settings_.health_path, settings_.load_path, settings_.health_every, settings_.health_again,
                  settings_.health_timeout, settings_.load_every, settings_.load_timeout,
@@ -121,7 +121,7 @@
     apply_roster(roster_.poll());
     step();
     try {
-      dns_server_.emplace(loop_, front_,
+      dns_server_.emplace(loop_, responder_,
                           dns::ServerSettings{settings_.listen, static_cast<std::size_t>(settings_.tcp_most),
                                               settings_.tcp_idle},
                           [this](ProxyId group) { on_lookup(group); });
@@ -143,12 +143,12 @@
     loop_.run();
     background_->remove(roster_task_);
     const auto counters = core_.counters();
-    const auto& front = front_.counters();
+    const auto& front = responder_.counters();
     log_.event(log::Level::info, "stopped",
                {{"answers", std::to_string(front.answers)},
                 {"truncated", std::to_string(front.truncated)},
                 {"rate_limited", std::to_string(front.rate_limited)},
-                {"unsent", std::to_string(dns_server_->unsent())},
+                {"unsent", std::to_string(dns_server_->dropped_datagrams())},
                 {"steps", std::to_string(counters.steps)},
                 {"orders", std::to_string(counters.orders)},
                 {"messages", std::to_string(counters.messages)},
@@ -429,7 +429,7 @@
     auto inputs = std::exchange(inputs_, {});
     const auto effects = core_.step(now, inputs);
     if (recorder_) recorder_->step(now, std::move(inputs), effects);
-    if (effects.published) front_.publish(effects.published, core_.group_map());
+    if (effects.published) responder_.publish(effects.published, core_.group_map());
     for (const auto& m : effects.messages) audit_log_.message(m);
     for (const auto& delivery : effects.deliveries) driver_.deliver(delivery.forwarder, delivery.table);
     command_results_ = effects.command_results;
@@ -452,7 +452,7 @@
     std::map<BackendId, Endpoint> probe_targets;
     for (const auto& [name, at] : names)
       if (const auto id = core_.backend_id(name)) probe_targets[*id] = at;
-    if (!options_.fixed_weights) prober_.follow(probe_targets);  // fixed weights need no health checks
+    if (!options_.fixed_weights) prober_.set_backends(probe_targets);  // fixed weights need no health checks
     log_.event(log::Level::info, "roster_read", {{"backends", std::to_string(n)}});
   }
 
@@ -533,9 +533,9 @@
   coordinator::Coordinator core_;
   RosterFile roster_;
   background::TaskId roster_task_;
-  dns::Front front_;
+  dns::Responder responder_;
   std::optional<dns::Server> dns_server_;
-  hears::Prober prober_;
+  probes::Prober prober_;
   std::vector<Input> inputs_;
   std::vector<Instant> last_lookups_;
   std::vector<std::string> command_results_;
--- a/src/app/simulate.cpp
+++ b/src/app/simulate.cpp
@@ -15,7 +15,7 @@
 #include "app/exit_codes.hpp"
 #include "config/settings.hpp"
 #include "lab/replay/settings.hpp"
-#include "lab/world/world.hpp"
+#include "lab/simulation/simulation.hpp"
 
 namespace gorsemount::app {
 
@@ -79,10 +79,11 @@
   faults.insert(faults.end(), findings.faults.begin(), findings.faults.end());
   for (const auto& error : faults) std::fprintf(stderr, "%s\n", error.text().c_str());
   if (!faults.empty()) return kExitInvalidConfig;
-  const std::map<std::string, lab::Decider> deciders{{"module", lab::Decider::module},
-                                                     {"equal", lab::Decider::fixed_weights},
-                                                     {"zone-local", lab::Decider::zone_local},
-                                                     {"oracle", lab::Decider::oracle}};
+  const std::map<std::string, lab::DecisionMakerKind> deciders{
+      {"module", lab::DecisionMakerKind::policy},
+      {"equal", lab::DecisionMakerKind::fixed_weights},
+      {"zone-local", lab::DecisionMakerKind::zone_local},
+      {"oracle", lab::DecisionMakerKind::oracle}};
   std::vector<lab::Override> changes;
   try {
     for (const auto& change : options.changes) changes.push_back(lab::read_override(change));
@@ -99,15 +100,15 @@
   std::mutex printing;
   const auto work = [&] {
     for (std::size_t index = next++; index < outcomes.size(); index = next++) {
-      lab::WorldSettings settings;
+      lab::SimulationSettings settings;
       settings.seed = options.first_seed + index, settings.random_faults = options.fault_count,
       settings.fences = options.fencing, settings.keeps = options.durable;
-      settings.decider = deciders.at(options.decider);
+      settings.decision_maker = deciders.at(options.decision_maker);
       settings.settings = [&](std::size_t number) { return lab::settings_for(day, number, "", changes); };
       settings.drift = options.fault_count > 0 ? 0.01 : 0;
-      outcomes[index] = lab::World{day, std::move(settings)}.run();
+      outcomes[index] = lab::Simulation{day, std::move(settings)}.run();
       const std::lock_guard lock{printing};
-      for (const auto& rule : outcomes[index]->broken(day))
+      for (const auto& rule : outcomes[index]->broken_rules(day))
         std::printf("  BROKEN  seed %llu: %s\n", static_cast<unsigned long long>(options.first_seed + index),
                     rule.c_str());
       std::fflush(stdout);
@@ -123,16 +124,16 @@
   std::uint64_t broken = 0, stale_orders = 0, refused_terms = 0, takeovers = 0, partial_changes = 0,
                 cluster_bytes = 0, tries = 0, crossings = 0, further_tries = 0;
   for (const auto& outcome : outcomes) {
-    service.push_back(outcome->whole.service()), worst.push_back(outcome->worst_ten());
-    leaderless.insert(leaderless.end(), outcome->unled.begin(), outcome->unled.end());
+    service.push_back(outcome->whole.service()), worst.push_back(outcome->worst_ten_seconds());
+    leaderless.insert(leaderless.end(), outcome->leaderless_times.begin(), outcome->leaderless_times.end());
     unserved = std::max(unserved, outcome->bare),
-    drain_overrun = std::max(drain_overrun, outcome->drained_sent),
-    cold_load = std::max(cold_load, outcome->cold_brought);
-    waiting = std::max(waiting, outcome->waiting), broken += outcome->broken(day).empty() ? 0 : 1,
-    stale_orders += outcome->lower_terms;
-    refused_terms += outcome->terms_refused, takeovers += outcome->takeovers,
-        partial_changes += outcome->half_changes, cluster_bytes += outcome->cluster_bytes;
-    tries += outcome->tries, crossings += outcome->crossings, further_tries += outcome->further_tries;
+    drain_overrun = std::max(drain_overrun, outcome->longest_send_after_drain),
+    cold_load = std::max(cold_load, outcome->worst_cold_overload);
+    waiting = std::max(waiting, outcome->waiting), broken += outcome->broken_rules(day).empty() ? 0 : 1,
+    stale_orders += outcome->stale_terms_accepted;
+    refused_terms += outcome->stale_terms_rejected, takeovers += outcome->takeovers,
+        partial_changes += outcome->partial_batches, cluster_bytes += outcome->cluster_bytes;
+    tries += outcome->tries, crossings += outcome->cross_zone_tries, further_tries += outcome->retries;
   }
   const double mean = [&] {
     double sum = 0;
@@ -157,29 +158,29 @@
   std::printf(
       "%s\n",
       fmt::format("  of invocations: late {:.2f}%, errored {:.2f}%, rate-limited {:.2f}%, no line {:.2f}%",
-                  percent(all.late), percent(all.errored), percent(all.limited), percent(all.no_line))
+                  percent(all.late), percent(all.errored), percent(all.rate_limited), percent(all.no_line))
           .c_str());
   std::vector<lab::Tally> buckets;
   for (const auto& outcome : outcomes) {
-    buckets.resize(std::max(buckets.size(), outcome->by_ten.size()));
-    for (std::size_t index = 0; index < outcome->by_ten.size(); ++index)
-      buckets[index].add(outcome->by_ten[index]);
+    buckets.resize(std::max(buckets.size(), outcome->by_ten_seconds.size()));
+    for (std::size_t index = 0; index < outcome->by_ten_seconds.size(); ++index)
+      buckets[index].add(outcome->by_ten_seconds[index]);
   }
-  std::string by_ten;
-  for (const auto& tally : buckets) by_ten += fmt::format(" {:.3f}", tally.service());
-  std::printf("  service by 10 s:%s\n", by_ten.c_str());
+  std::string by_ten_seconds;
+  for (const auto& tally : buckets) by_ten_seconds += fmt::format(" {:.3f}", tally.service());
+  std::printf("  service by 10 s:%s\n", by_ten_seconds.c_str());
   for (std::size_t zone = 0; zone < day.zones.size(); ++zone) {
     std::string parts;
     for (std::size_t bucket = 0; bucket * 10 < static_cast<std::size_t>(day.length.seconds()); ++bucket) {
-      double zone_tries = 0, all_tries = 0;
+      double tries_by_zone = 0, all_tries = 0;
       for (const auto& outcome : outcomes)
-        for (const auto& moment : outcome->moments)
+        for (const auto& moment : outcome->samples)
           if (moment.at > 10.0 * static_cast<double>(bucket) &&
               moment.at <= 10.0 * static_cast<double>(bucket + 1))
-            for (std::size_t target = 0; target < moment.zone_tries.size(); ++target)
-              all_tries += moment.zone_tries[target],
-                  zone_tries += target == zone ? moment.zone_tries[target] : 0;
-      parts += fmt::format(" {:.3f}", all_tries > 0 ? zone_tries / all_tries : 0);
+            for (std::size_t target = 0; target < moment.tries_by_zone.size(); ++target)
+              all_tries += moment.tries_by_zone[target],
+                  tries_by_zone += target == zone ? moment.tries_by_zone[target] : 0;
+      parts += fmt::format(" {:.3f}", all_tries > 0 ? tries_by_zone / all_tries : 0);
     }
     std::printf("%s\n", fmt::format("  share of {} by 10 s:{}", day.zones[zone], parts).c_str());
   }
