--- a/src/app/coordinator.cpp
+++ b/src/app/coordinator.cpp
@@ -128,7 +128,7 @@
   // What comes in one turn of the loop is one batch.
   void schedule() {
     if (std::exchange(scheduled_, true)) return;
-    loop_.soon([this] { step(); });
+    loop_.call_soon([this] { step(); });
   }
 
   void step() {
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -18,10 +18,10 @@
 #include "coordinator/baseline.hpp"
 #include "coordinator/coordinator.hpp"
 #include "dns/server.hpp"
-#include "hears/prober.hpp"
 #include "log/log.hpp"
 #include "net/loop.hpp"
 #include "peers/peer_transport.hpp"
+#include "probes/prober.hpp"
 #include "record/recorder.hpp"
 #include "recovery/fact_confidence.hpp"
 #include "runtime_api/command_server.hpp"
@@ -42,15 +42,15 @@
 const Span kTell = Span::seconds(0.25);      // between looks at what other controllers are to hear of
 const Span kLastWords = Span::seconds(0.5);  // for TCP answers that are being written at a stop
 
-dns::FrontSettings front_settings(const ServeSettings& s) {
-  dns::FrontSettings f;
+dns::ResponderSettings responder_settings(const ServeSettings& s) {
+  dns::ResponderSettings f;
   f.origin = s.dns.origin, f.hostmaster = s.dns.hostmaster, f.nameservers = s.dns.nameservers;
   f.address = s.listen.address;
   f.negative_ttl = static_cast<std::uint32_t>(s.dns.negative_for.seconds());
   f.udp_size = static_cast<std::uint16_t>(s.dns.additional_most);
   for (const auto& op : s.core.operations) f.operations.push_back(op.name);
-  f.lines_most = static_cast<std::size_t>(s.core.lines_most);
-  f.addresses_most = static_cast<std::size_t>(s.core.addresses_most);
+  f.max_srv_records = static_cast<std::size_t>(s.core.lines_most);
+  f.max_addresses = static_cast<std::size_t>(s.core.addresses_most);
   return f;
 }
 
@@ -81,7 +81,7 @@
         core_{s_.core,
               options_.fixed ? coordinator::fixed_weights() : coordinator::policy_decision_maker(s_.core)},
         roster_{s_.core, s_.roster_file},
-        front_{front_settings(s_), core_.group_map()},
+        responder_{responder_settings(s_), core_.group_map()},
         prober_{loop_,
                 {s_.health_path, s_.load_path, s_.health_every, s_.health_again, s_.health_timeout,
                  s_.load_every, s_.load_timeout, s_.core.operations},
@@ -117,7 +117,7 @@
     heed(roster_.look());
     step();
     try {
-      server_.emplace(loop_, front_,
+      server_.emplace(loop_, responder_,
                       dns::ServerSettings{s_.listen, static_cast<std::size_t>(s_.tcp_most), s_.tcp_idle},
                       [this](ProxyId group) { looked_up(group); });
     } catch (const std::exception& fault) {
@@ -137,12 +137,12 @@
     loop_.run();
     background_->remove(roster_task_);
     const auto c = core_.counters();
-    const auto& f = front_.counters();
+    const auto& f = responder_.counters();
     log_.event(log::Level::info, "stopped",
                {{"answers", std::to_string(f.answers)},
                 {"truncated", std::to_string(f.truncated)},
                 {"rate_limited", std::to_string(f.rate_limited)},
-                {"unsent", std::to_string(server_->unsent())},
+                {"unsent", std::to_string(server_->dropped_datagrams())},
                 {"steps", std::to_string(c.steps)},
                 {"orders", std::to_string(c.orders)},
                 {"messages", std::to_string(c.messages)},
@@ -411,7 +411,7 @@
     auto inputs = std::exchange(inputs_, {});
     const auto effects = core_.step(now, inputs);
     if (recorder_) recorder_->step(now, std::move(inputs), effects);
-    if (effects.published) front_.publish(effects.published, core_.group_map());
+    if (effects.published) responder_.publish(effects.published, core_.group_map());
     for (const auto& m : effects.messages) records_.message(m);
     for (const auto& d : effects.deliveries) driver_.deliver(d.forwarder, d.table);
     answers_ = effects.command_results;
@@ -434,7 +434,7 @@
     std::map<BackendId, Endpoint> asked;
     for (const auto& [name, at] : names)
       if (const auto id = core_.backend_id(name)) asked[*id] = at;
-    if (!options_.fixed) prober_.follow(asked);  // a plain zone file asks nobody
+    if (!options_.fixed) prober_.set_backends(asked);  // a plain zone file asks nobody
     log_.event(log::Level::info, "roster_read", {{"backends", std::to_string(n)}});
   }
 
@@ -511,9 +511,9 @@
   coordinator::Coordinator core_;
   RosterFile roster_;
   background::TaskId roster_task_;
-  dns::Front front_;
+  dns::Responder responder_;
   std::optional<dns::Server> server_;
-  hears::Prober prober_;
+  probes::Prober prober_;
   std::vector<Input> inputs_;
   std::vector<Instant> seen_;
   std::vector<std::string> answers_;
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -148,9 +148,9 @@
   if (connection_) connection_->abort();
 }
 
-void HttpClient::ask(Request request, Span timeout, Done done) {
+void HttpClient::send(Request request, Span timeout, Done done) {
   done_ = std::move(done);
-  asked_ = loop_.now();
+  requested_at_ = loop_.now();
   bytes_ = write(request, to_.text());
   sent_ = false;
   timeout_ = loop_.after(timeout, [this] { end(Outcome::timed_out); });
@@ -196,7 +196,8 @@
   if (auto response = reader_.take()) {
     loop_.cancel(timeout_);
     if (!response->keep_alive && connection_->open()) connection_->abort();
-    Result result{Outcome::answered, std::move(*response), asked_, monotonic_now() - asked_, {}, true};
+    Result result{
+        Outcome::answered, std::move(*response), requested_at_, monotonic_now() - requested_at_, {}, true};
     std::exchange(done_, {})(std::move(result));
   }
   return used;
@@ -207,7 +208,8 @@
   attempt_.reset();
   if (connection_) connection_->abort();
   if (done_)
-    std::exchange(done_, {})(Result{outcome, {}, asked_, monotonic_now() - asked_, std::move(why), sent_});
+    std::exchange(done_, {})(
+        Result{outcome, {}, requested_at_, monotonic_now() - requested_at_, std::move(why), sent_});
 }
 
 }  // namespace gorsemount::net
--- a/src/standins/worker.cpp
+++ b/src/standins/worker.cpp
@@ -117,7 +117,7 @@
   if (sum <= s_.tip_multiple * warmth() * s_.cores * s_.speed * s_.tip_after.seconds()) return;
   recorder_.write(now, "fell", {{"worker", s_.name}});
   fallen_ = true;
-  loop_.soon([this] { crash(); });
+  loop_.call_soon([this] { crash(); });
 }
 
 void Worker::request(const std::shared_ptr<net::Connection>& connection, const Address& from,
