--- a/src/probes/load_reply.hpp
+++ b/src/probes/load_reply.hpp
@@ -1,5 +1,5 @@
-// What a worker says of its load, as JSON. Only the form is judged here; whether the figures can be true is
-// for coordinator::ReportAggregator.
+// Parses a worker's load report in JSON. Only the format is checked here; coordinator::ReportAggregator
+// checks whether the figures are plausible.
 #pragma once
 
 #include <string>
@@ -10,9 +10,9 @@
 
 namespace gorsemount::probes {
 
-// The sample, or what is wrong with the text and where. Unknown keys and operations are passed over: workers
-// may say and do more than we know.
-[[nodiscard]] std::variant<coordinator::LoadSample, std::string> read_load(
+// Returns the sample, or an error text that names the faulty key. Unknown keys and operations are ignored:
+// workers may report and offer more than this coordinator is configured for.
+[[nodiscard]] std::variant<coordinator::LoadSample, std::string> parse_load_reply(
     const std::string& text, const std::vector<coordinator::OperationInfo>& operations);
 
 }  // namespace gorsemount::probes
--- a/src/probes/prober.hpp
+++ b/src/probes/prober.hpp
@@ -1,5 +1,5 @@
-// Asks each backend of a list for its health and its load, on two kept connections each, spread evenly over
-// the interval. It reports what came and judges nothing.
+// Health checks and load polls of a list of backends, over two keep-alive connections to each, spread evenly
+// over the interval. Results are reported as they come; the coordinator interprets them.
 #pragma once
 
 #include <functional>
@@ -13,7 +13,7 @@
 
 struct ProberSettings {
   std::string health_path, load_path;
-  Span health_every, health_again, health_timeout, load_every, load_timeout;
+  Span health_interval, health_retry_interval, health_timeout, load_interval, load_timeout;
   std::vector<coordinator::OperationInfo> operations;
 };
 
@@ -25,19 +25,19 @@
   Prober(const Prober&) = delete;
   Prober& operator=(const Prober&) = delete;
 
-  // Follows the list: asks whoever is new, forgets whoever is not in it.
+  // Replaces the list: starts to probe new backends and stops probing those that are no longer listed.
   void set_backends(const std::map<BackendId, Endpoint>& backends);
 
  private:
-  struct Asked;
-  void health(BackendId id);
-  void health_in(BackendId id, Span wait);
-  void load(BackendId id);
+  struct Target;
+  void check_health(BackendId id);
+  void schedule_health_check(BackendId id, Span delay);
+  void poll_load(BackendId id);
 
   net::Loop& loop_;
-  ProberSettings s_;
+  ProberSettings settings_;
   Report report_;
-  std::map<BackendId, std::unique_ptr<Asked>> asked_;
+  std::map<BackendId, std::unique_ptr<Target>> targets_;
 };
 
 }  // namespace gorsemount::probes
