--- a/src/dns/message.hpp
+++ b/src/dns/message.hpp
@@ -1,5 +1,5 @@
-// DNS messages (RFC 1035, section 4; RFC 6891 for EDNS(0); RFC 7871 for client subnets): reads questions,
-// writes answers. No I/O, no decisions.
+// DNS messages (RFC 1035, section 4; RFC 6891 for EDNS(0); RFC 7871 for client subnets): parses
+// queries and encodes responses. No I/O, no decisions.
 #pragma once
 
 #include <array>
@@ -27,22 +27,22 @@
   AXFR = 252,
   ANY = 255
 };
-enum class Code : std::uint16_t {
+enum class ResponseCode : std::uint16_t {
   no_error = 0,
-  format = 1,
+  format_error = 1,
   server_failure = 2,
-  no_name = 3,
+  name_error = 3,
   not_implemented = 4,
   refused = 5,
   bad_version = 16
 };
-inline constexpr std::uint16_t kIn = 1, kAnyClass = 255;
-inline constexpr std::size_t kHeader = 12;
-inline constexpr std::size_t kNameMost = 255;  // RFC 1035, section 3.1
+inline constexpr std::uint16_t kClassIn = 1, kClassAny = 255;
+inline constexpr std::size_t kHeaderBytes = 12;
+inline constexpr std::size_t kMaxNameBytes = 255;  // RFC 1035, section 3.1
 
-// A name in wire form, lower case, with its last zero.
+// A domain name in wire format, lower case, with the terminating root label.
 using Name = std::string;
-// "a.example.org" to wire form; empty if it is no name.
+// Converts "a.example.org" to wire format; returns an empty string if the text is not a valid name.
 [[nodiscard]] Name to_wire(std::string_view text);
 [[nodiscard]] std::string to_text(std::string_view wire);
 
@@ -55,10 +55,10 @@
   std::uint16_t id = 0;
   std::uint8_t opcode = 0;
   bool recursion_desired = false;
-  Name name;                 // lower case, for looking up
-  std::size_t question = 0;  // bytes of the question section, to be copied back as asked
+  Name name;                       // lower case, for the lookup
+  std::size_t question_bytes = 0;  // size of the question section, which is echoed unchanged
   Type type = Type::A;
-  std::uint16_t rr_class = kIn;
+  std::uint16_t rr_class = kClassIn;
   bool edns = false;
   std::uint8_t edns_version = 0;
   bool dnssec_ok = false;
@@ -66,12 +66,12 @@
   std::optional<ClientSubnet> subnet;
 };
 
-// What became of reading a message. `drop`: no answer is due (too short for a header, or itself an answer).
-enum class Read { good, drop, format_error, not_implemented };
-// Fills what can be read even when it is not good: the header's id, and the question if it was sound.
-[[nodiscard]] Read read_query(std::span<const std::uint8_t> in, Query& out);
+// Result of parsing a message. `drop`: it gets no response (too short for a header, or itself a response).
+enum class ParseResult { valid, drop, format_error, not_implemented };
+// Fills `out` as far as possible even for an invalid message: the id, and the question if it is well-formed.
+[[nodiscard]] ParseResult parse_query(std::span<const std::uint8_t> in, Query& out);
 
-// Writes into a buffer of fixed size; past its end nothing is written and `full` is set.
+// Writes into a fixed-size buffer. A write that does not fit is discarded and sets `full`.
 class Writer {
  public:
   explicit Writer(std::span<std::uint8_t> out) : out_{out} {}
@@ -83,7 +83,7 @@
   void u32(std::uint32_t v) { u16(static_cast<std::uint16_t>(v >> 16U)), u16(static_cast<std::uint16_t>(v)); }
   void bytes(std::span<const std::uint8_t> b);
   void text(std::string_view b) { bytes({reinterpret_cast<const std::uint8_t*>(b.data()), b.size()}); }
-  void patch16(std::size_t at, std::uint16_t v);
+  void patch_u16(std::size_t at, std::uint16_t v);
   void set_bit(std::size_t at, std::uint8_t bit) { out_[at] |= bit; }
   void rewind(std::size_t to) { size_ = to, full_ = false; }
   [[nodiscard]] std::size_t size() const { return size_; }
@@ -95,15 +95,17 @@
   bool full_ = false;
 };
 
-// The header and the question as it was asked (case kept). Counts are patched by finish().
-void begin_answer(Writer& w, std::span<const std::uint8_t> in, const Query& q, Code code, bool authoritative);
-struct Counts {
+// Writes the header and echoes the question with its case preserved. finish_answer() fills in the counts.
+void begin_answer(Writer& writer, std::span<const std::uint8_t> in, const Query& query, ResponseCode code,
+                  bool authoritative);
+struct SectionCounts {
   std::uint16_t answer = 0, authority = 0, additional = 0;
 };
-// Adds the OPT record where the question had one (RFC 6891, section 6.1.1), with the subnet's scope
-// (RFC 7871, section 7.2.1), and sets the counts. Needs `opt_size` bytes.
-[[nodiscard]] std::size_t opt_size(const Query& q);
-void finish(Writer& w, const Query& q, Code code, Counts counts, unsigned scope, std::uint16_t udp_size,
-            bool truncated);
+// Size of the OPT record that finish_answer() adds.
+[[nodiscard]] std::size_t opt_record_bytes(const Query& query);
+// Adds an OPT record if the query had one (RFC 6891, section 6.1.1), with the scope of the client subnet
+// (RFC 7871, section 7.2.1), and sets the section counts.
+void finish_answer(Writer& writer, const Query& query, ResponseCode code, SectionCounts counts,
+                   unsigned scope, std::uint16_t udp_size, bool truncated);
 
 }  // namespace gorsemount::dns
--- a/src/dns/responder.cpp
+++ b/src/dns/responder.cpp
@@ -14,26 +14,28 @@
 
 namespace {
 
-constexpr std::uint16_t kOwner = 0xc00c;  // the question's name, where every answer begins
-constexpr double kWeightTop = 10000;      // of the heaviest line: a hundredth of a hundredth still counts
-constexpr std::uint16_t kPriority = 10;   // of the first tier
-constexpr int kTiers = 3;                 // own, near, far
+constexpr std::uint16_t kQuestionNamePointer = 0xc00c;  // compression pointer to the name in the question
+constexpr double kMaxWeight = 10000;  // of the heaviest line; leaves room for a weight of 1/10000 of it
+constexpr std::uint16_t kFirstTierPriority = 10;
+constexpr int kTierCount = 3;  // own zone, near zones, far zones
 
-void put16(std::string& out, std::uint16_t v) {
+void append_u16(std::string& out, std::uint16_t v) {
   out.push_back(static_cast<char>(v >> 8U)), out.push_back(static_cast<char>(v));
 }
-void put32(std::string& out, std::uint32_t v) {
-  put16(out, static_cast<std::uint16_t>(v >> 16U)), put16(out, static_cast<std::uint16_t>(v));
+void append_u32(std::string& out, std::uint32_t v) {
+  append_u16(out, static_cast<std::uint16_t>(v >> 16U)), append_u16(out, static_cast<std::uint16_t>(v));
 }
-void head(std::string& out, std::uint16_t owner, Type type, std::uint32_t ttl, std::size_t size) {
-  put16(out, owner), put16(out, static_cast<std::uint16_t>(type)), put16(out, kIn), put32(out, ttl);
-  put16(out, static_cast<std::uint16_t>(size));
+void write_record_header(std::string& out, std::uint16_t owner, Type type, std::uint32_t ttl,
+                         std::size_t size) {
+  append_u16(out, owner), append_u16(out, static_cast<std::uint16_t>(type)), append_u16(out, kClassIn),
+      append_u32(out, ttl);
+  append_u16(out, static_cast<std::uint16_t>(size));
 }
 std::string_view address_bytes(const Address& a) {
   return {reinterpret_cast<const char*>(a.bytes.data()), a.v6 ? 16U : 4U};
 }
 
-std::string label(std::string_view text) {
+std::string to_label(std::string_view text) {
   std::string out(1, static_cast<char>(text.size()));
   for (const char c : text) out.push_back(static_cast<char>(c >= 'A' && c <= 'Z' ? c + 32 : c));
   return out;
@@ -42,317 +44,340 @@
 }  // namespace
 
 struct Responder::Reply {
-  Counts counts;
-  Code code = Code::no_error;
+  SectionCounts counts;
+  ResponseCode code = ResponseCode::no_error;
   bool truncated = false;
-  bool negative = false;  // a SOA in the authority section says how long that holds (RFC 2308)
+  bool negative = false;  // add the SOA record, whose TTL bounds negative caching (RFC 2308)
   unsigned scope = 0;
-  std::size_t limit = 0;  // bytes, the OPT record not counted
+  std::size_t limit = 0;  // bytes, without the OPT record
 };
 
 Responder::Responder(ResponderSettings settings, std::shared_ptr<const coordinator::GroupMap> groups)
-    : s_{std::move(settings)},
-      origin_{to_wire(s_.origin)},
-      hostmaster_{to_wire(s_.hostmaster)},
-      workers_{label("w") + origin_},
+    : settings_{std::move(settings)},
+      origin_{to_wire(settings_.origin)},
+      hostmaster_{to_wire(settings_.hostmaster)},
+      workers_origin_{to_label("w") + origin_},
       groups_{std::move(groups)} {
-  for (const auto& name : s_.nameservers) nameservers_.push_back(to_wire(name));
+  for (const auto& name : settings_.nameservers) nameservers_.push_back(to_wire(name));
 }
 
-void Responder::make_names() {
+void Responder::rebuild_names() {
   names_.clear();
-  names_[""] = {What::apex, 0, {}};
-  names_[label("w")] = names_[label("_tcp")] = {What::empty, 0, {}};
+  names_[""] = {NameKind::apex, 0, {}};
+  names_[to_label("w")] = names_[to_label("_tcp")] = {NameKind::empty, 0, {}};
   for (const auto& ns : nameservers_)
     if (ns.size() > origin_.size() && ns.ends_with(origin_)) {
-      std::string below = ns.substr(0, ns.size() - origin_.size());
-      // What stands between is there too, without records (RFC 8020).
-      for (std::size_t at = 1U + static_cast<unsigned char>(below[0]); at < below.size();
-           at += 1U + static_cast<unsigned char>(below[at]))
-        names_.try_emplace(below.substr(at), Entry{What::empty, 0, {}});
-      names_[below] = {What::nameserver, 0, {}};
+      std::string relative = ns.substr(0, ns.size() - origin_.size());
+      // Empty non-terminals above the name exist too, without records (RFC 8020).
+      for (std::size_t at = 1U + static_cast<unsigned char>(relative[0]); at < relative.size();
+           at += 1U + static_cast<unsigned char>(relative[at]))
+        names_.try_emplace(relative.substr(at), NameEntry{NameKind::empty, 0, {}});
+      names_[relative] = {NameKind::nameserver, 0, {}};
     }
-  for (std::size_t k = 0; k < s_.operations.size(); ++k) {
-    names_[label(s_.operations[k])] = {What::service, k, {}};
-    names_[label("_" + s_.operations[k]) + label("_tcp")] = {What::srv, k, {}};
+  for (std::size_t k = 0; k < settings_.operations.size(); ++k) {
+    names_[to_label(settings_.operations[k])] = {NameKind::service, k, {}};
+    names_[to_label("_" + settings_.operations[k]) + to_label("_tcp")] = {NameKind::srv, k, {}};
   }
-  for (const auto& [id, known] : *published_->directory)
-    names_[label(known.name) + label("w")] = {What::worker, 0, id};
+  for (const auto& [id, worker] : *published_->directory)
+    names_[to_label(worker.name) + to_label("w")] = {NameKind::worker, 0, id};
 }
 
-// Lines as records, each with the weight that it has in this answer. `base`: where the answer section begins,
-// so that addresses can point at the targets. RFC 2782: a target's name is not compressed.
-void Responder::write_srv(std::string& out, std::string& glue, std::size_t base,
-                          const std::vector<SampledLine>& drawn, const Ready& ready) const {
-  // Weights count among records of one priority (RFC 2782).
-  std::array<double, kTiers> heaviest{};
-  const auto tier_of = [&](const SampledLine& d) {
-    return static_cast<std::size_t>(std::clamp(ready.view->lines[d.index].tier, 0, kTiers - 1));
+// Encodes the sampled lines as SRV records, and their addresses as glue. `base` is the offset of the answer
+// section in the message; glue records point at the target names with it. Targets themselves are not
+// compressed (RFC 2782).
+void Responder::write_srv_records(std::string& out, std::string& glue, std::size_t base,
+                                  const std::vector<SampledLine>& sampled,
+                                  const PreparedView& prepared) const {
+  // Weights are relative to the records of the same priority (RFC 2782).
+  std::array<double, kTierCount> tier_max_weight{};
+  const auto tier_of = [&](const SampledLine& line) {
+    return static_cast<std::size_t>(std::clamp(prepared.view->lines[line.index].tier, 0, kTierCount - 1));
   };
-  for (const auto& d : drawn) heaviest[tier_of(d)] = std::max(heaviest[tier_of(d)], d.weight);
-  for (const auto& d : drawn) {
-    const std::size_t tier = tier_of(d);
-    const std::string& target = ready.targets[d.index];
-    const Endpoint& at = ready.at[d.index];
-    head(out, kOwner, Type::SRV, ready.ttl, 6 + target.size());
-    // Never 0 for a line that is wanted: RFC 2782 gives such a record next to nothing.
-    const double weight = std::max(1.0, std::round(d.weight / heaviest[tier] * kWeightTop));
-    put16(out, static_cast<std::uint16_t>(kPriority + tier)), put16(out, static_cast<std::uint16_t>(weight)),
-        put16(out, at.port);
-    const std::size_t place = base + out.size();
+  for (const auto& line : sampled)
+    tier_max_weight[tier_of(line)] = std::max(tier_max_weight[tier_of(line)], line.weight);
+  for (const auto& line : sampled) {
+    const std::size_t tier = tier_of(line);
+    const std::string& target = prepared.targets[line.index];
+    const Endpoint& endpoint = prepared.endpoints[line.index];
+    write_record_header(out, kQuestionNamePointer, Type::SRV, prepared.ttl, 6 + target.size());
+    // At least 1: clients hardly ever select a record of weight 0 (RFC 2782).
+    const double weight = std::max(1.0, std::round(line.weight / tier_max_weight[tier] * kMaxWeight));
+    append_u16(out, static_cast<std::uint16_t>(kFirstTierPriority + tier)),
+        append_u16(out, static_cast<std::uint16_t>(weight)), append_u16(out, endpoint.port);
+    const std::size_t target_offset = base + out.size();
     out += target;
-    if (place < 0x4000) {
-      head(glue, static_cast<std::uint16_t>(0xc000U | place), at.address.v6 ? Type::AAAA : Type::A, ready.ttl,
-           at.address.v6 ? 16 : 4);
-      glue += address_bytes(at.address);
+    if (target_offset < 0x4000) {
+      write_record_header(glue, static_cast<std::uint16_t>(0xc000U | target_offset),
+                          endpoint.address.v6 ? Type::AAAA : Type::A, prepared.ttl,
+                          endpoint.address.v6 ? 16 : 4);
+      glue += address_bytes(endpoint.address);
     }
   }
 }
 
-std::shared_ptr<Responder::Ready> Responder::make_ready(std::shared_ptr<const RoutingView> view) const {
-  auto ready = std::make_shared<Ready>();
-  ready->view = std::move(view);
-  ready->ttl = static_cast<std::uint32_t>(published_->lifetime.seconds());
-  ready->directory = published_->directory.get();
+std::shared_ptr<Responder::PreparedView> Responder::prepare_view(
+    std::shared_ptr<const RoutingView> view) const {
+  auto prepared = std::make_shared<PreparedView>();
+  prepared->view = std::move(view);
+  prepared->ttl = static_cast<std::uint32_t>(published_->lifetime.seconds());
+  prepared->directory = published_->directory.get();
   std::vector<SampledLine> all;
-  for (std::size_t k = 0; k < ready->view->lines.size(); ++k) {
-    const auto& line = ready->view->lines[k];
-    const auto& known = published_->directory->at(line.backend);
-    ready->targets.push_back(label(known.name) + workers_), ready->at.push_back(known.at);
-    (known.at.address.v6 ? ready->v6 : ready->v4).push_back(k);
-    (known.at.address.v6 ? ready->lines_v6 : ready->lines_v4).push_back(line);
+  for (std::size_t k = 0; k < prepared->view->lines.size(); ++k) {
+    const auto& line = prepared->view->lines[k];
+    const auto& worker = published_->directory->at(line.backend);
+    prepared->targets.push_back(to_label(worker.name) + workers_origin_),
+        prepared->endpoints.push_back(worker.at);
+    (worker.at.address.v6 ? prepared->v6 : prepared->v4).push_back(k);
+    (worker.at.address.v6 ? prepared->lines_v6 : prepared->lines_v4).push_back(line);
     all.push_back({k, line.weight});
   }
-  if (all.size() <= s_.max_srv_records) {
-    const std::size_t base = kHeader + label("_" + s_.operations[ready->view->operation.value]).size() +
-                             label("_tcp").size() + origin_.size() + 4;
-    write_srv(ready->srv, ready->glue, base, all, *ready);
-    ready->lines = static_cast<std::uint16_t>(all.size());
+  if (all.size() <= settings_.max_srv_records) {
+    const std::size_t base = kHeaderBytes +
+                             to_label("_" + settings_.operations[prepared->view->operation.value]).size() +
+                             to_label("_tcp").size() + origin_.size() + 4;
+    write_srv_records(prepared->srv, prepared->glue, base, all, *prepared);
+    prepared->lines = static_cast<std::uint16_t>(all.size());
   }
-  return ready;
+  return prepared;
 }
 
 void Responder::publish(std::shared_ptr<const PublishedState> published,
                         std::shared_ptr<const coordinator::GroupMap> groups) {
-  const bool renamed = !published_ || published_->directory != published->directory;
+  const bool directory_changed = !published_ || published_->directory != published->directory;
   published_ = std::move(published);
   groups_ = std::move(groups);
-  if (renamed) make_names();
-  std::map<std::uint64_t, std::shared_ptr<Ready>> known;
-  for (const auto& row : ready_)
-    for (const auto& ready : row) known.emplace(ready->view->version, ready);
+  if (directory_changed) rebuild_names();
+  std::map<std::uint64_t, std::shared_ptr<PreparedView>> previous_views;
+  for (const auto& row : prepared_)
+    for (const auto& prepared : row) previous_views.emplace(prepared->view->version, prepared);
   const auto ttl = static_cast<std::uint32_t>(published_->lifetime.seconds());
-  std::vector<std::vector<std::shared_ptr<Ready>>> next(published_->views.size());
+  std::vector<std::vector<std::shared_ptr<PreparedView>>> next(published_->views.size());
   for (std::size_t g = 0; g < next.size(); ++g) {
     for (const auto& view : published_->views[g]) {
-      auto& ready = known[view->version];
-      if (!ready || ready->ttl != ttl || ready->directory != published_->directory.get()) {
-        const auto was = ready;
-        ready = make_ready(view);
-        if (was) ready->phase = was->phase, ready->admission = was->admission;
+      auto& prepared = previous_views[view->version];
+      if (!prepared || prepared->ttl != ttl || prepared->directory != published_->directory.get()) {
+        const auto previous = prepared;
+        prepared = prepare_view(view);
+        if (previous) prepared->phase = previous->phase, prepared->admission = previous->admission;
       }
-      // Draws go on where the group's last view of the operation left off.
-      const std::size_t op = view->operation.value;
-      if (g < ready_.size() && op < ready_[g].size() && ready_[g][op] != ready && ready->phase.unused())
-        ready->phase = ready_[g][op]->phase, ready->admission = ready_[g][op]->admission;
-      next[g].push_back(ready);
+      // A new view continues the sampling sequence and the admission state of the group's previous view.
+      const std::size_t operation = view->operation.value;
+      if (g < prepared_.size() && operation < prepared_[g].size() && prepared_[g][operation] != prepared &&
+          prepared->phase.unused())
+        prepared->phase = prepared_[g][operation]->phase,
+        prepared->admission = prepared_[g][operation]->admission;
+      next[g].push_back(prepared);
     }
   }
-  ready_ = std::move(next);
+  prepared_ = std::move(next);
 }
 
-void Responder::soa(Writer& w, std::uint16_t owner, std::uint32_t ttl) const {
+void Responder::write_soa(Writer& writer, std::uint16_t owner, std::uint32_t ttl) const {
   const Name& mname = nameservers_.front();
-  w.u16(owner), w.u16(static_cast<std::uint16_t>(Type::SOA)), w.u16(kIn), w.u32(ttl);
-  w.u16(static_cast<std::uint16_t>(mname.size() + hostmaster_.size() + 20));
-  w.text(mname), w.text(hostmaster_);
-  w.u32(static_cast<std::uint32_t>(published_->version));
-  // Refresh, retry and expiry mean something to secondaries only, of which there are none.
-  w.u32(60), w.u32(10), w.u32(300), w.u32(s_.negative_ttl);
+  writer.u16(owner), writer.u16(static_cast<std::uint16_t>(Type::SOA)), writer.u16(kClassIn), writer.u32(ttl);
+  writer.u16(static_cast<std::uint16_t>(mname.size() + hostmaster_.size() + 20));
+  writer.text(mname), writer.text(hostmaster_);
+  writer.u32(static_cast<std::uint32_t>(published_->version));
+  // Refresh, retry and expire concern secondary servers only, and this zone has none.
+  writer.u32(60), writer.u32(10), writer.u32(300), writer.u32(settings_.negative_ttl);
 }
 
-void Responder::addresses(Writer& w, const Query& q, const std::vector<Endpoint>& at, std::uint32_t ttl,
-                          Reply& reply) const {
-  for (const auto& e : at) {
-    const std::string_view bytes = address_bytes(e.address);
-    w.u16(kOwner), w.u16(static_cast<std::uint16_t>(q.type)), w.u16(kIn), w.u32(ttl);
-    w.u16(static_cast<std::uint16_t>(bytes.size())), w.text(bytes);
+void Responder::write_addresses(Writer& writer, const Query& query, const std::vector<Endpoint>& endpoints,
+                                std::uint32_t ttl, Reply& reply) const {
+  for (const auto& endpoint : endpoints) {
+    const std::string_view bytes = address_bytes(endpoint.address);
+    writer.u16(kQuestionNamePointer), writer.u16(static_cast<std::uint16_t>(query.type)),
+        writer.u16(kClassIn), writer.u32(ttl);
+    writer.u16(static_cast<std::uint16_t>(bytes.size())), writer.text(bytes);
     ++reply.counts.answer;
   }
-  if (at.empty()) reply.negative = true;
+  if (endpoints.empty()) reply.negative = true;
 }
 
-// An operation's own name: addresses drawn by weight, and the admission level in words for clients that obey.
-void Responder::answer_service(Writer& w, const Query& q, Ready& ready, Reply& reply) {
-  const auto& level = ready.view->level;
-  if (q.type == Type::A || q.type == Type::AAAA) {
-    const bool v6 = q.type == Type::AAAA;
-    const auto& places = v6 ? ready.v6 : ready.v4;
-    if (!places.empty() && !ready.admission.admit(level.level)) {
+// Answers for an operation's own name: A and AAAA records sampled by weight, and a TXT record with the
+// admission level and the allowed tries, for clients that apply these themselves.
+void Responder::answer_service(Writer& writer, const Query& query, PreparedView& prepared, Reply& reply) {
+  const auto& level = prepared.view->level;
+  if (query.type == Type::A || query.type == Type::AAAA) {
+    const bool v6 = query.type == Type::AAAA;
+    const auto& line_indices = v6 ? prepared.v6 : prepared.v4;
+    if (!line_indices.empty() && !prepared.admission.admit(level.level)) {
       ++counters_.rate_limited;
       reply.negative = true;
       return;
     }
-    std::vector<Endpoint> at;
-    for (const auto k : coordinator::sample_uniform(v6 ? ready.lines_v6 : ready.lines_v4, s_.max_addresses,
-                                                    ready.phase.next()))
-      at.push_back(ready.at[places[k]]);
-    addresses(w, q, at, ready.ttl, reply);
-  } else if (q.type == Type::TXT) {
+    std::vector<Endpoint> endpoints;
+    for (const auto k : coordinator::sample_uniform(v6 ? prepared.lines_v6 : prepared.lines_v4,
+                                                    settings_.max_addresses, prepared.phase.next()))
+      endpoints.push_back(prepared.endpoints[line_indices[k]]);
+    write_addresses(writer, query, endpoints, prepared.ttl, reply);
+  } else if (query.type == Type::TXT) {
     const std::string text =
         fmt::format("level={:.3f} tries={}", std::min(1.0, level.level), static_cast<int>(level.tries));
-    w.u16(kOwner), w.u16(static_cast<std::uint16_t>(Type::TXT)), w.u16(kIn), w.u32(ready.ttl);
-    w.u16(static_cast<std::uint16_t>(text.size() + 1)), w.u8(static_cast<std::uint8_t>(text.size())),
-        w.text(text);
+    writer.u16(kQuestionNamePointer), writer.u16(static_cast<std::uint16_t>(Type::TXT)), writer.u16(kClassIn),
+        writer.u32(prepared.ttl);
+    writer.u16(static_cast<std::uint16_t>(text.size() + 1)),
+        writer.u8(static_cast<std::uint8_t>(text.size())), writer.text(text);
     reply.counts.answer = 1;
   } else {
     reply.negative = true;
   }
 }
 
-void Responder::answer_srv(Writer& w, const Query& q, Ready& ready, Reply& reply) {
-  if (q.type != Type::SRV || ready.targets.empty()) {
+void Responder::answer_srv(Writer& writer, const Query& query, PreparedView& prepared, Reply& reply) {
+  if (query.type != Type::SRV || prepared.targets.empty()) {
     reply.negative = true;
     return;
   }
-  if (!ready.admission.admit(ready.view->level.level)) {
-    // RFC 2782: a target of "." says that the service is decidedly not available here. Kept for a second, so
-    // that a client that was turned away asks again soon.
+  if (!prepared.admission.admit(prepared.view->level.level)) {
+    // A target of "." says that the service is decidedly not available at this domain (RFC 2782). The TTL of
+    // one second lets a rate-limited client ask again soon.
     ++counters_.rate_limited;
-    w.u16(kOwner), w.u16(static_cast<std::uint16_t>(Type::SRV)), w.u16(kIn), w.u32(std::min(1U, ready.ttl));
-    w.u16(7), w.u16(0), w.u16(0), w.u16(0), w.u8(0);
+    writer.u16(kQuestionNamePointer), writer.u16(static_cast<std::uint16_t>(Type::SRV)), writer.u16(kClassIn),
+        writer.u32(std::min(1U, prepared.ttl));
+    writer.u16(7), writer.u16(0), writer.u16(0), writer.u16(0), writer.u8(0);
     reply.counts.answer = 1;
     return;
   }
   std::string srv, glue;
-  const std::string* records = &ready.srv;
-  const std::string* beside = &ready.glue;
-  std::uint16_t lines = ready.lines;
+  const std::string* records = &prepared.srv;
+  const std::string* additional_records = &prepared.glue;
+  std::uint16_t lines = prepared.lines;
   if (lines == 0) {
-    const auto drawn = coordinator::sample_tiered(ready.view->lines, s_.max_srv_records, ready.phase.next());
-    write_srv(srv, glue, w.size(), drawn, ready);
-    records = &srv, beside = &glue, lines = static_cast<std::uint16_t>(drawn.size());
+    const auto sampled =
+        coordinator::sample_tiered(prepared.view->lines, settings_.max_srv_records, prepared.phase.next());
+    write_srv_records(srv, glue, writer.size(), sampled, prepared);
+    records = &srv, additional_records = &glue, lines = static_cast<std::uint16_t>(sampled.size());
   }
-  if (w.size() + records->size() > reply.limit) {
-    // Not half a list: a client that took it for the whole would press on those few (RFC 2181, section 9).
+  if (writer.size() + records->size() > reply.limit) {
+    // Send no partial list: a client that used it as the complete set would overload the few workers in it
+    // (RFC 2181, section 9).
     reply.truncated = true;
     return;
   }
-  w.text(*records);
+  writer.text(*records);
   reply.counts.answer = lines;
-  // Addresses are a courtesy: without room for them all there are none, and the answer is whole all the same.
-  if (w.size() + beside->size() <= reply.limit) {
-    w.text(*beside);
+  // The additional section is optional: if not all addresses fit, none is sent, and the answer is still
+  // complete.
+  if (writer.size() + additional_records->size() <= reply.limit) {
+    writer.text(*additional_records);
     reply.counts.additional = lines;
   }
 }
 
-Responder::Answered Responder::answer(std::span<const std::uint8_t> in, const Address& from, bool udp,
-                                      std::span<std::uint8_t> out) {
-  Answered result;
-  Query q;
-  const Read read = read_query(in, q);
-  if (read == Read::drop || !published_) {
+Responder::AnswerResult Responder::answer(std::span<const std::uint8_t> in, const Address& from, bool udp,
+                                          std::span<std::uint8_t> out) {
+  AnswerResult result;
+  Query query;
+  const ParseResult parsed = parse_query(in, query);
+  if (parsed == ParseResult::drop || !published_) {
     ++counters_.dropped;
     return result;
   }
   ++counters_.answers;
-  Writer w{out};
+  Writer writer{out};
   Reply reply;
-  const std::size_t most = udp ? std::min<std::size_t>(q.udp_size, s_.udp_size) : out.size();
-  reply.limit = std::min(most, out.size()) - std::min(most, opt_size(q));
-  const auto done = [&] {
-    finish(w, q, reply.code, reply.counts, reply.scope, s_.udp_size, reply.truncated);
-    result.size = w.full() ? 0 : w.size();
+  const std::size_t max_bytes = udp ? std::min<std::size_t>(query.udp_size, settings_.udp_size) : out.size();
+  reply.limit = std::min(max_bytes, out.size()) - std::min(max_bytes, opt_record_bytes(query));
+  const auto finish = [&] {
+    finish_answer(writer, query, reply.code, reply.counts, reply.scope, settings_.udp_size, reply.truncated);
+    result.size = writer.full() ? 0 : writer.size();
     return result;
   };
-  const auto plain = [&](Code code) {
+  const auto answer_without_records = [&](ResponseCode code) {
     reply.code = code;
-    begin_answer(w, in, q, code, false);
-    return done();
+    begin_answer(writer, in, query, code, false);
+    return finish();
   };
-  if (read == Read::format_error) return ++counters_.format, plain(Code::format);
-  if (read == Read::not_implemented) return plain(Code::not_implemented);
-  if (q.edns && q.edns_version != 0) return plain(Code::bad_version);
-  const bool ours = q.name.ends_with(origin_) && (q.rr_class == kIn || q.rr_class == kAnyClass);
-  // A suffix must begin at a label: "xorigin" is not below "origin".
-  const std::size_t below = ours ? q.name.size() - origin_.size() : 0;
-  std::size_t edge = 0;
-  while (edge < below) edge += 1U + static_cast<unsigned char>(q.name[edge]);
-  if (!ours || edge != below || q.type == Type::AXFR || q.type == Type::IXFR)
-    return ++counters_.refused, plain(Code::refused);
+  if (parsed == ParseResult::format_error)
+    return ++counters_.format_errors, answer_without_records(ResponseCode::format_error);
+  if (parsed == ParseResult::not_implemented) return answer_without_records(ResponseCode::not_implemented);
+  if (query.edns && query.edns_version != 0) return answer_without_records(ResponseCode::bad_version);
+  const bool in_zone =
+      query.name.ends_with(origin_) && (query.rr_class == kClassIn || query.rr_class == kClassAny);
+  // The suffix must begin at a label boundary: "xorigin" is not below "origin".
+  const std::size_t relative_bytes = in_zone ? query.name.size() - origin_.size() : 0;
+  std::size_t label_start = 0;
+  while (label_start < relative_bytes)
+    label_start += 1U + static_cast<unsigned char>(query.name[label_start]);
+  if (!in_zone || label_start != relative_bytes || query.type == Type::AXFR || query.type == Type::IXFR)
+    return ++counters_.refused, answer_without_records(ResponseCode::refused);
 
-  // Whose clients these are: by the client's subnet where a trusted resolver tells it, else by who asks.
+  // The client's group: by its subnet if a trusted resolver sends one, else by the resolver's address.
   Address source = from;
-  if (q.subnet && q.subnet->source.length > 0 && groups_->trusts(from)) {
-    source = q.subnet->source.address;
-    reply.scope = q.subnet->source.length;  // the answer holds for that subnet, as far as we were told
+  if (query.subnet && query.subnet->source.length > 0 && groups_->trusts(from)) {
+    source = query.subnet->source.address;
+    reply.scope = query.subnet->source.length;  // the answer is valid for the whole subnet in the query
   }
   const ProxyId group = groups_->group_of(source);
-  const auto found = names_.find(q.name.substr(0, below));
-  reply.code = found == names_.end() ? Code::no_name : Code::no_error;
-  begin_answer(w, in, q, reply.code, true);
-  const auto apex = static_cast<std::uint16_t>(0xc000U | (kHeader + below));
+  const auto found = names_.find(query.name.substr(0, relative_bytes));
+  reply.code = found == names_.end() ? ResponseCode::name_error : ResponseCode::no_error;
+  begin_answer(writer, in, query, reply.code, true);
+  const auto apex = static_cast<std::uint16_t>(0xc000U | (kHeaderBytes + relative_bytes));
   if (found == names_.end()) {
-    ++counters_.no_name;
+    ++counters_.name_errors;
     reply.negative = true;
-  } else if (q.type == Type::ANY) {
-    // RFC 8482, section 4.2: one small record in place of everything.
-    w.u16(kOwner), w.u16(static_cast<std::uint16_t>(Type::HINFO)), w.u16(kIn), w.u32(s_.negative_ttl);
-    w.u16(9), w.u8(7), w.text("RFC8482"), w.u8(0);
+  } else if (query.type == Type::ANY) {
+    // A single HINFO record instead of all records (RFC 8482, section 4.2).
+    writer.u16(kQuestionNamePointer), writer.u16(static_cast<std::uint16_t>(Type::HINFO)),
+        writer.u16(kClassIn), writer.u32(settings_.negative_ttl);
+    writer.u16(9), writer.u8(7), writer.text("RFC8482"), writer.u8(0);
     reply.counts.answer = 1;
   } else {
-    const Entry& entry = found->second;
-    switch (entry.what) {
-      case What::apex:
-        if (q.type == Type::SOA) {
-          soa(w, kOwner, s_.negative_ttl);
+    const NameEntry& entry = found->second;
+    switch (entry.kind) {
+      case NameKind::apex:
+        if (query.type == Type::SOA) {
+          write_soa(writer, kQuestionNamePointer, settings_.negative_ttl);
           reply.counts.answer = 1;
-        } else if (q.type == Type::NS) {
+        } else if (query.type == Type::NS) {
           for (const auto& ns : nameservers_) {
-            w.u16(kOwner), w.u16(static_cast<std::uint16_t>(Type::NS)), w.u16(kIn), w.u32(60);
-            w.u16(static_cast<std::uint16_t>(ns.size())), w.text(ns);
+            writer.u16(kQuestionNamePointer), writer.u16(static_cast<std::uint16_t>(Type::NS)),
+                writer.u16(kClassIn), writer.u32(60);
+            writer.u16(static_cast<std::uint16_t>(ns.size())), writer.text(ns);
             ++reply.counts.answer;
           }
         } else {
           reply.negative = true;
         }
         break;
-      case What::nameserver:
-        if (q.type == (s_.address.v6 ? Type::AAAA : Type::A)) {
-          addresses(w, q, {{s_.address, 0}}, 60, reply);
+      case NameKind::nameserver:
+        if (query.type == (settings_.address.v6 ? Type::AAAA : Type::A)) {
+          write_addresses(writer, query, {{settings_.address, 0}}, 60, reply);
         } else {
           reply.negative = true;
         }
         break;
-      case What::empty:
+      case NameKind::empty:
         reply.negative = true;
         break;
-      case What::service:
-      case What::srv: {
-        result.looked_up = group;
-        Ready& ready = *ready_[group.value][entry.operation];
-        entry.what == What::srv ? answer_srv(w, q, ready, reply) : answer_service(w, q, ready, reply);
+      case NameKind::service:
+      case NameKind::srv: {
+        result.queried_group = group;
+        PreparedView& prepared = *prepared_[group.value][entry.operation];
+        entry.kind == NameKind::srv ? answer_srv(writer, query, prepared, reply)
+                                    : answer_service(writer, query, prepared, reply);
         break;
       }
-      case What::worker: {
-        const auto& known = published_->directory->at(entry.worker);
-        // The address of one that is to get nothing new is taken back: a client that kept its name past an
-        // answer's lifetime, but looks the address up, is stopped here.
-        std::vector<Endpoint> at;
-        if (known.accepts_new_work && q.type == (known.at.address.v6 ? Type::AAAA : Type::A))
-          at.push_back(known.at);
-        addresses(w, q, at, static_cast<std::uint32_t>(published_->lifetime.seconds()), reply);
+      case NameKind::worker: {
+        const auto& worker = published_->directory->at(entry.worker);
+        // A worker that accepts no new work has no address record. That stops clients that keep using its
+        // name after the TTL of the SRV answer but resolve the address again.
+        std::vector<Endpoint> endpoints;
+        if (worker.accepts_new_work && query.type == (worker.at.address.v6 ? Type::AAAA : Type::A))
+          endpoints.push_back(worker.at);
+        write_addresses(writer, query, endpoints, static_cast<std::uint32_t>(published_->lifetime.seconds()),
+                        reply);
         break;
       }
     }
   }
   if (reply.negative) {
-    soa(w, apex, s_.negative_ttl);
+    write_soa(writer, apex, settings_.negative_ttl);
     reply.counts.authority = 1;
   }
   if (reply.truncated) ++counters_.truncated;
-  return done();
+  return finish();
 }
 
 }  // namespace gorsemount::dns
--- a/src/dns/server.hpp
+++ b/src/dns/server.hpp
@@ -1,4 +1,4 @@
-// DNS on sockets: UDP in batches, and TCP with several questions on a connection (RFC 7766).
+// DNS server sockets: UDP in batches, and TCP with several queries per connection (RFC 7766).
 #pragma once
 
 #include <functional>
@@ -12,35 +12,35 @@
 
 struct ServerSettings {
   Endpoint listen;
-  std::size_t tcp_most = 256;
-  Span tcp_idle = Span::seconds(10);
+  std::size_t max_tcp_connections = 256;
+  Span tcp_idle_timeout = Span::seconds(10);
 };
 
 class Server {
  public:
-  using LookedUp = std::function<void(ProxyId)>;
+  using OnLookup = std::function<void(ProxyId)>;
   // Throws std::system_error if it can't listen.
-  Server(net::Loop& loop, Responder& responder, ServerSettings settings, LookedUp looked_up);
+  Server(net::Loop& loop, Responder& responder, ServerSettings settings, OnLookup on_lookup);
 
-  // Answers what has come in, then closes: a TCP connection once its answers are written.
+  // Answers all pending queries, then closes; TCP connections close once their responses are written.
   void stop();
   [[nodiscard]] std::uint64_t dropped_datagrams() const { return udp_.dropped(); }
-  [[nodiscard]] std::uint64_t turned_away() const { return turned_away_; }
+  [[nodiscard]] std::uint64_t rejected_connections() const { return rejected_connections_; }
   [[nodiscard]] std::size_t connections() const { return connections_.size(); }
 
  private:
   void accept(net::Fd fd, const Endpoint& from);
-  std::size_t tcp_data(std::uint64_t number, const Address& from, std::string_view bytes);
+  std::size_t handle_tcp_data(std::uint64_t connection_id, const Address& from, std::string_view bytes);
 
   net::Loop& loop_;
   Responder& responder_;
-  ServerSettings s_;
-  LookedUp looked_up_;
+  ServerSettings settings_;
+  OnLookup on_lookup_;
   net::UdpServer udp_;
   std::unique_ptr<net::Listener> tcp_;
   std::map<std::uint64_t, std::shared_ptr<net::Connection>> connections_;
-  std::uint64_t number_ = 0, turned_away_ = 0;
-  std::vector<std::uint8_t> out_;
+  std::uint64_t last_connection_id_ = 0, rejected_connections_ = 0;
+  std::vector<std::uint8_t> tcp_answer_;
 };
 
 }  // namespace gorsemount::dns
--- a/tests/dns/dns_test.cpp
+++ b/tests/dns/dns_test.cpp
@@ -1,4 +1,4 @@
-// The DNS front, judged by ldns: what it answers, what it refuses, and that no message makes it do else.
+// Tests of the DNS responder with ldns as the independent parser: answers, refusals and malformed messages.
 #include <gtest/gtest.h>
 #include <ldns/ldns.h>
 
@@ -11,13 +11,13 @@
 namespace gorsemount::dns {
 namespace {
 
-struct Free {
+struct PacketDeleter {
   void operator()(ldns_pkt* p) const { ldns_pkt_free(p); }
 };
-using Packet = std::unique_ptr<ldns_pkt, Free>;
+using Packet = std::unique_ptr<ldns_pkt, PacketDeleter>;
 using Bytes = std::vector<std::uint8_t>;
 
-Bytes question(const std::string& name, ldns_rr_type type, std::uint16_t edns = 1232) {
+Bytes make_query(const std::string& name, ldns_rr_type type, std::uint16_t edns = 1232) {
   const Packet p{ldns_pkt_query_new(ldns_dname_new_frm_str(name.c_str()), type, LDNS_RR_CLASS_IN, LDNS_RD)};
   ldns_pkt_set_id(p.get(), 77);
   if (edns > 0) ldns_pkt_set_edns_udp_size(p.get(), edns);
@@ -29,8 +29,8 @@
   return out;
 }
 
-struct Served : ::testing::Test {
-  void start(unsigned n, std::size_t lines_most = 16) {
+struct ResponderTest : ::testing::Test {
+  void start(unsigned n, std::size_t max_srv_records = 16) {
     rig = std::make_unique<coordinator::Rig>(n);
     ResponderSettings s{"refill.test",
                         "host.refill.test",
@@ -39,7 +39,7 @@
                         1,
                         1232,
                         {"read", "write"},
-                        lines_most,
+                        max_srv_records,
                         2};
     responder = std::make_unique<Responder>(s, rig->core.group_map());
     responder->publish(rig->published, rig->core.group_map());
@@ -51,7 +51,7 @@
     answered =
         responder->answer(in, *Address::parse(from), udp, udp ? std::span{out}.first(4096) : std::span{out});
     size = answered.size;
-    raw.assign(out.begin(), out.begin() + static_cast<std::ptrdiff_t>(size));
+    response_bytes.assign(out.begin(), out.begin() + static_cast<std::ptrdiff_t>(size));
     ldns_pkt* p = nullptr;
     if (size > 0) {
       EXPECT_EQ(ldns_wire2pkt(&p, out.data(), size), LDNS_STATUS_OK);
@@ -59,7 +59,7 @@
     return Packet{p};
   }
   Packet ask(const std::string& name, ldns_rr_type type, std::uint16_t edns = 1232) {
-    return ask(question(name, type, edns));
+    return ask(make_query(name, type, edns));
   }
   static std::size_t count(const Packet& p) { return ldns_pkt_ancount(p.get()); }
   static ldns_rr_type first_authority(const Packet& p) {
@@ -68,19 +68,19 @@
 
   std::unique_ptr<coordinator::Rig> rig;
   std::unique_ptr<Responder> responder;
-  Responder::Answered answered;
+  Responder::AnswerResult answered;
   std::size_t size = 0;
-  Bytes raw;
+  Bytes response_bytes;
 };
 
-TEST_F(Served, SrvListsEveryLineWithItsWeightPortAndAddress) {
+TEST_F(ResponderTest, SrvListsEveryLineWithItsWeightPortAndAddress) {
   const auto p = ask("_READ._tcp.Refill.Test", LDNS_RR_TYPE_SRV);
   ASSERT_TRUE(p);
   EXPECT_EQ(ldns_pkt_get_rcode(p.get()), LDNS_RCODE_NOERROR);
   EXPECT_TRUE(ldns_pkt_aa(p.get()));
   EXPECT_FALSE(ldns_pkt_tc(p.get()));
   ASSERT_EQ(count(p), 6U);
-  EXPECT_EQ(ldns_pkt_arcount(p.get()), 6U);  // ldns counts the OPT record apart
+  EXPECT_EQ(ldns_pkt_arcount(p.get()), 6U);  // ldns does not count the OPT record here
   const ldns_rr* rr = ldns_rr_list_rr(ldns_pkt_answer(p.get()), 2);
   EXPECT_EQ(ldns_rdf2native_int16(ldns_rr_rdf(rr, 1)), 10000);
   EXPECT_EQ(ldns_rdf2native_int16(ldns_rr_rdf(rr, 2)), 9000);
@@ -91,22 +91,22 @@
   char* owner = ldns_rdf2str(ldns_rr_owner(rr));
   EXPECT_STREQ(owner, "_READ._tcp.Refill.Test.") << "case as asked";
   std::free(owner);
-  EXPECT_EQ(answered.looked_up, ProxyId{0});
+  EXPECT_EQ(answered.queried_group, ProxyId{0});
 }
 
-TEST_F(Served, WeightsFollowTheViewAndASmallOneIsNever0) {
+TEST_F(ResponderTest, WeightsFollowTheViewAndAreNeverZero) {
   rig->workers[0].down = true;
   rig->seconds(4);
   responder->publish(rig->published, rig->core.group_map());
   EXPECT_EQ(count(ask("_read._tcp.refill.test", LDNS_RR_TYPE_SRV)), 5U);
-  rig->seconds(3);  // its trial: a hundredth of the traffic
+  rig->seconds(3);  // the worker's trial period, with a hundredth of the traffic
   responder->publish(rig->published, rig->core.group_map());
   const auto p = ask("_read._tcp.refill.test", LDNS_RR_TYPE_SRV);
   for (std::size_t k = 0; k < count(p); ++k)
     EXPECT_GE(ldns_rdf2native_int16(ldns_rr_rdf(ldns_rr_list_rr(ldns_pkt_answer(p.get()), k), 1)), 1);
 }
 
-TEST_F(Served, AddressesAreDrawnEvenly) {
+TEST_F(ResponderTest, AddressesAreSampledEvenly) {
   std::map<std::string, int> seen;
   for (int n = 0; n < 300; ++n) {
     const auto p = ask("write.refill.test", LDNS_RR_TYPE_A);
@@ -121,7 +121,7 @@
   for (const auto& [address, n] : seen) EXPECT_NEAR(n, 100, 4) << address;
 }
 
-TEST_F(Served, NegativeAnswersCarryTheSoa) {
+TEST_F(ResponderTest, NegativeAnswersIncludeTheSoa) {
   for (const auto& [name, type, code] : std::vector<std::tuple<const char*, ldns_rr_type, ldns_pkt_rcode>>{
            {"nobody.refill.test", LDNS_RR_TYPE_A, LDNS_RCODE_NXDOMAIN},
            {"a.read.refill.test", LDNS_RR_TYPE_A, LDNS_RCODE_NXDOMAIN},
@@ -139,7 +139,7 @@
   }
 }
 
-TEST_F(Served, ApexNameServersAndWorkersHaveTheirRecords) {
+TEST_F(ResponderTest, ApexNameServersAndWorkersHaveTheirRecords) {
   EXPECT_EQ(count(ask("refill.test", LDNS_RR_TYPE_SOA)), 1U);
   EXPECT_EQ(count(ask("refill.test", LDNS_RR_TYPE_NS)), 2U);
   EXPECT_EQ(count(ask("ns1.refill.test", LDNS_RR_TYPE_A)), 1U);
@@ -148,7 +148,7 @@
   EXPECT_EQ(count(ask("read.refill.test", LDNS_RR_TYPE_ANY)), 1U);
 }
 
-TEST_F(Served, ADrainingWorkersAddressIsTakenBack) {
+TEST_F(ResponderTest, ADrainingWorkerHasNoAddressRecord) {
   auto roster = rig->roster;
   roster[3].availability = Availability::draining;
   rig->step({coordinator::RosterUpdate{roster}});
@@ -157,30 +157,30 @@
   EXPECT_EQ(count(ask("_read._tcp.refill.test", LDNS_RR_TYPE_SRV)), 5U);
 }
 
-TEST_F(Served, OutsideItsZonesItRefuses) {
+TEST_F(ResponderTest, RefusesNamesOutsideTheZone) {
   for (const char* name : {"test", "xrefill.test", "example.org", "."})
     EXPECT_EQ(ldns_pkt_get_rcode(ask(name, LDNS_RR_TYPE_A).get()), LDNS_RCODE_REFUSED) << name;
   EXPECT_EQ(ldns_pkt_get_rcode(ask("refill.test", LDNS_RR_TYPE_AXFR).get()), LDNS_RCODE_REFUSED);
-  auto chaos = question("read.refill.test", LDNS_RR_TYPE_A, 0);
+  auto chaos = make_query("read.refill.test", LDNS_RR_TYPE_A, 0);
   chaos[chaos.size() - 1] = 3;
   EXPECT_EQ(ldns_pkt_get_rcode(ask(chaos).get()), LDNS_RCODE_REFUSED);
 }
 
-TEST_F(Served, WhatDoesNotFitIsTruncatedAndWholeOverTcp) {
+TEST_F(ResponderTest, OversizedAnswersAreTruncatedOverUdpAndCompleteOverTcp) {
   start(16);
   auto p = ask("_read._tcp.refill.test", LDNS_RR_TYPE_SRV, 0);
   EXPECT_TRUE(ldns_pkt_tc(p.get()));
-  EXPECT_EQ(count(p), 0U) << "no half of a list";
+  EXPECT_EQ(count(p), 0U) << "no partial list";
   EXPECT_LE(size, 512U);
   p = ask("_read._tcp.refill.test", LDNS_RR_TYPE_SRV, 4096);
   EXPECT_EQ(count(p), 16U);
   EXPECT_LE(size, 1232U);
-  p = ask(question("_read._tcp.refill.test", LDNS_RR_TYPE_SRV, 0), false);
+  p = ask(make_query("_read._tcp.refill.test", LDNS_RR_TYPE_SRV, 0), false);
   EXPECT_FALSE(ldns_pkt_tc(p.get()));
   EXPECT_EQ(count(p), 16U);
 }
 
-TEST_F(Served, ALargeFleetIsDrawnFromAndEveryLineHasItsTurn) {
+TEST_F(ResponderTest, ALargeFleetIsSampledAndEveryLineAppears) {
   start(90);
   std::map<std::string, int> seen;
   for (int n = 0; n < 200; ++n) {
@@ -196,30 +196,32 @@
   EXPECT_EQ(seen.size(), 90U);
 }
 
-TEST_F(Served, ALevelTurnsItsShareOfLookupsAwayAtOnce) {
+TEST_F(ResponderTest, AnAdmissionLevelRejectsItsShareOfLookups) {
   auto published = std::make_shared<coordinator::PublishedState>(*rig->published);
   auto view = std::make_shared<coordinator::RoutingView>(*published->views[0][0]);
   view->version = 999, view->level.level = 0.25;
   published->views[0][0] = view;
   responder->publish(published, rig->core.group_map());
-  int in = 0;
+  int admitted = 0;
   for (int n = 0; n < 100; ++n) {
     const auto p = ask("_read._tcp.refill.test", LDNS_RR_TYPE_SRV);
     const ldns_rr* rr = ldns_rr_list_rr(ldns_pkt_answer(p.get()), 0);
     ASSERT_NE(rr, nullptr);
-    const bool away = ldns_rdf_size(ldns_rr_rdf(rr, 3)) == 1;  // the root: not available (RFC 2782)
-    in += away ? 0 : 1;
-    if (away) {
+    const bool rejected =
+        ldns_rdf_size(ldns_rr_rdf(rr, 3)) == 1;  // the root as target: not available (RFC 2782)
+    admitted += rejected ? 0 : 1;
+    if (rejected) {
       EXPECT_LE(ldns_rr_ttl(rr), 1U);
     }
   }
-  EXPECT_NEAR(in, 25, 1);
-  EXPECT_EQ(count(ask("_write._tcp.refill.test", LDNS_RR_TYPE_SRV)), 6U) << "another operation is untouched";
+  EXPECT_NEAR(admitted, 25, 1);
+  EXPECT_EQ(count(ask("_write._tcp.refill.test", LDNS_RR_TYPE_SRV)), 6U)
+      << "another operation is not limited";
 }
 
-Bytes with_subnet(const std::string& name, std::array<std::uint8_t, 3> network, std::uint8_t bits,
-                  std::uint8_t stray = 0) {
-  auto in = question(name, LDNS_RR_TYPE_SRV, 0);
+Bytes make_query_with_subnet(const std::string& name, std::array<std::uint8_t, 3> network, std::uint8_t bits,
+                             std::uint8_t stray_bits = 0) {
+  auto in = make_query(name, LDNS_RR_TYPE_SRV, 0);
   in[11] = 1;
   const std::size_t n = (bits + 7U) / 8U;
   Bytes opt{0,
@@ -242,26 +244,27 @@
             bits,
             0};
   opt.insert(opt.end(), network.begin(), network.begin() + static_cast<std::ptrdiff_t>(n));
-  if (stray != 0) opt.back() |= stray;
+  if (stray_bits != 0) opt.back() |= stray_bits;
   in.insert(in.end(), opt.begin(), opt.end());
   return in;
 }
 
-// RFC 2782: a lower priority is tried first, and weights count among records of one priority.
-TEST_F(Served, TiersArePrioritiesAndAddressesAreOfTheFirst) {
+// RFC 2782: clients try lower priorities first, and weights are relative within one priority.
+TEST_F(ResponderTest, TiersMapToPrioritiesAndAddressesComeFromTheFirst) {
   start(60);
   auto published = std::make_shared<coordinator::PublishedState>(*rig->published);
   auto view = std::make_shared<coordinator::RoutingView>(*published->views[0][0]);
   view->version = 1'000'000;
-  std::set<std::string> later;
+  std::set<std::string> fallback_addresses;
   for (std::size_t k = 0; k < view->lines.size(); ++k) {
     view->lines[k].tier = k < 40 ? 0 : k < 50 ? 1 : 2;
     view->lines[k].weight = k < 40 ? 100 : 1;
-    if (k >= 40) later.insert(published->directory->at(view->lines[k].backend).at.address.text());
+    if (k >= 40)
+      fallback_addresses.insert(published->directory->at(view->lines[k].backend).at.address.text());
   }
   published->views[0][0] = view;
   responder->publish(published, rig->core.group_map());
-  std::set<std::string> met;
+  std::set<std::string> sampled_addresses;
   for (int n = 0; n < 200; ++n) {
     const auto p = ask("_read._tcp.refill.test", LDNS_RR_TYPE_SRV);
     std::map<int, int> by_priority;
@@ -269,36 +272,38 @@
       auto* rr = ldns_rr_list_rr(ldns_pkt_answer(p.get()), k);
       ++by_priority[ldns_rdf2native_int16(ldns_rr_rdf(rr, 0))];
       EXPECT_GE(ldns_rdf2native_int16(ldns_rr_rdf(rr, 1)), 10)
-          << "a fallback's weight is not next to nothing";
+          << "the weight of a fallback is not scaled to near 0";
     }
     ASSERT_EQ(by_priority, (std::map<int, int>{{10, 12}, {11, 2}, {12, 2}}));
     const auto a = ask("read.refill.test", LDNS_RR_TYPE_A);
     for (std::size_t k = 0; k < count(a); ++k) {
       char* text = ldns_rdf2str(ldns_rr_rdf(ldns_rr_list_rr(ldns_pkt_answer(a.get()), k), 0));
-      EXPECT_FALSE(later.contains(text)) << text;
-      met.insert(text);
+      EXPECT_FALSE(fallback_addresses.contains(text)) << text;
+      sampled_addresses.insert(text);
       std::free(text);
     }
   }
-  EXPECT_EQ(met.size(), 40U);
+  EXPECT_EQ(sampled_addresses.size(), 40U);
 }
 
-TEST_F(Served, AClientsSubnetIsBelievedFromTrustedResolversOnly) {
-  const auto in = with_subnet("_read._tcp.refill.test", {127, 2, 0}, 24);
+TEST_F(ResponderTest, ClientSubnetIsUsedFromTrustedResolversOnly) {
+  const auto in = make_query_with_subnet("_read._tcp.refill.test", {127, 2, 0}, 24);
   ASSERT_TRUE(ask(in, true, "127.9.0.53"));
-  EXPECT_EQ(answered.looked_up, ProxyId{1});
-  EXPECT_EQ(raw[raw.size() - 4], 24) << "the scope says how far the answer holds";
+  EXPECT_EQ(answered.queried_group, ProxyId{1});
+  EXPECT_EQ(response_bytes[response_bytes.size() - 4], 24)
+      << "the scope is the prefix that the answer is valid for";
   ASSERT_TRUE(ask(in, true, "127.1.0.5"));
-  EXPECT_EQ(answered.looked_up, ProxyId{0});
-  EXPECT_EQ(raw[raw.size() - 4], 0);
-  EXPECT_EQ(ldns_pkt_get_rcode(ask(with_subnet("_read._tcp.refill.test", {127, 2, 0}, 20, 1)).get()),
-            LDNS_RCODE_FORMERR)
-      << "bits behind the length";
+  EXPECT_EQ(answered.queried_group, ProxyId{0});
+  EXPECT_EQ(response_bytes[response_bytes.size() - 4], 0);
+  EXPECT_EQ(
+      ldns_pkt_get_rcode(ask(make_query_with_subnet("_read._tcp.refill.test", {127, 2, 0}, 20, 1)).get()),
+      LDNS_RCODE_FORMERR)
+      << "bits set beyond the prefix length";
 }
 
-// Every malformed kind that docs/dns.md lists, with its answer.
-TEST_F(Served, MalformedMessagesGetAClearAnswerOrNone) {
-  const auto good = question("read.refill.test", LDNS_RR_TYPE_A);
+// Each kind of malformed message that docs/dns.md lists, with its response.
+TEST_F(ResponderTest, MalformedMessagesGetAnErrorResponseOrNone) {
+  const auto good = make_query("read.refill.test", LDNS_RR_TYPE_A);
   const auto code = [&](Bytes in) { return static_cast<int>(ldns_pkt_get_rcode(ask(in).get())); };
   const auto patched = [&](std::size_t at, std::uint8_t v) {
     auto in = good;
@@ -306,19 +311,19 @@
     return in;
   };
   EXPECT_EQ(code(good), 0);
-  EXPECT_FALSE(ask(Bytes(good.begin(), good.begin() + 11))) << "shorter than a header: dropped";
-  EXPECT_FALSE(ask(patched(2, 0x81))) << "an answer: dropped";
+  EXPECT_FALSE(ask(Bytes(good.begin(), good.begin() + 11))) << "shorter than a header: no response";
+  EXPECT_FALSE(ask(patched(2, 0x81))) << "a response: no response";
   EXPECT_EQ(code(patched(2, 0x28)), 4) << "another opcode";
   EXPECT_EQ(code(patched(5, 0)), 1) << "no question";
   EXPECT_EQ(code(patched(5, 2)), 1) << "two questions";
-  EXPECT_EQ(code(patched(7, 1)), 1) << "an answer counted that is not there";
+  EXPECT_EQ(code(patched(7, 1)), 1) << "a missing answer record";
   EXPECT_EQ(code(patched(12, 0xc0)), 1) << "a pointer in the question";
-  EXPECT_EQ(code(patched(12, 0x40)), 1) << "a label of 64";
-  EXPECT_EQ(code(Bytes(good.begin(), good.begin() + 20)), 1) << "cut off in the name";
-  EXPECT_EQ(code(Bytes(good.begin(), good.end() - 3)), 1) << "cut off in the OPT record";
+  EXPECT_EQ(code(patched(12, 0x40)), 1) << "a label of 64 bytes";
+  EXPECT_EQ(code(Bytes(good.begin(), good.begin() + 20)), 1) << "truncated in the name";
+  EXPECT_EQ(code(Bytes(good.begin(), good.end() - 3)), 1) << "truncated in the OPT record";
   auto longer = good;
   longer.push_back(0);
-  EXPECT_EQ(code(longer), 1) << "bytes behind the end";
+  EXPECT_EQ(code(longer), 1) << "trailing bytes";
   auto two = good;
   two.insert(two.end(), good.end() - 11, good.end());
   two[11] = 2;
@@ -329,25 +334,26 @@
   EXPECT_EQ(ldns_pkt_edns_extended_rcode(p.get()), 1) << "BADVERS";
   std::string name;
   for (int k = 0; k < 4; ++k) name += std::string(62, 'a') + ".";
-  auto endless = question("read.refill.test", LDNS_RR_TYPE_A, 0);
+  auto overlong = make_query("read.refill.test", LDNS_RR_TYPE_A, 0);
   Bytes labels;
   for (int k = 0; k < 5; ++k) labels.push_back(63), labels.insert(labels.end(), 63, 'a');
-  endless.insert(endless.begin() + 12, labels.begin(), labels.end());
-  EXPECT_EQ(code(endless), 1) << "a name over 255 bytes";
+  overlong.insert(overlong.begin() + 12, labels.begin(), labels.end());
+  EXPECT_EQ(code(overlong), 1) << "a name over 255 bytes";
 }
 
-TEST_F(Served, NoChangedByteMakesAnUnsoundAnswer) {
-  std::mt19937 chance{5};
-  const std::vector<Bytes> seeds{
-      question("read.refill.test", LDNS_RR_TYPE_A), question("_read._tcp.refill.test", LDNS_RR_TYPE_SRV),
-      with_subnet("_read._tcp.refill.test", {127, 2, 0}, 24), question("refill.test", LDNS_RR_TYPE_SOA, 0)};
+TEST_F(ResponderTest, MutatedQueriesNeverGetAMalformedResponse) {
+  std::mt19937 random_engine{5};
+  const std::vector<Bytes> base_queries{make_query("read.refill.test", LDNS_RR_TYPE_A),
+                                        make_query("_read._tcp.refill.test", LDNS_RR_TYPE_SRV),
+                                        make_query_with_subnet("_read._tcp.refill.test", {127, 2, 0}, 24),
+                                        make_query("refill.test", LDNS_RR_TYPE_SOA, 0)};
   std::array<std::uint8_t, 4096> out;
   int answers = 0;
   for (int n = 0; n < 60000; ++n) {
-    auto in = seeds[static_cast<std::size_t>(n) % seeds.size()];
-    for (unsigned k = chance() % 4 + 1; k > 0; --k)
-      in[chance() % in.size()] = static_cast<std::uint8_t>(chance());
-    if (chance() % 3 == 0) in.resize(chance() % (in.size() + 1));
+    auto in = base_queries[static_cast<std::size_t>(n) % base_queries.size()];
+    for (unsigned k = random_engine() % 4 + 1; k > 0; --k)
+      in[random_engine() % in.size()] = static_cast<std::uint8_t>(random_engine());
+    if (random_engine() % 3 == 0) in.resize(random_engine() % (in.size() + 1));
     const auto a = responder->answer(in, *Address::parse("127.1.0.1"), true, out);
     if (a.size == 0) continue;
     ++answers;
@@ -360,7 +366,7 @@
   EXPECT_GT(answers, 30000);
 }
 
-TEST(Names, GoToWireFormAndBack) {
+TEST(Names, ConvertToWireFormatAndBack) {
   EXPECT_EQ(to_text(to_wire("A.b.example")), "a.b.example.");
   EXPECT_EQ(to_wire(""), std::string(1, '\0'));
   EXPECT_TRUE(to_wire("a..b").empty());
