--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -126,7 +126,7 @@
     needs_resync_ = true;
     ended(call, why);
   };
-  if (!call.answer.fault().empty()) return resync("an answer that is no HTTP: " + call.answer.fault());
+  if (!call.answer.error().empty()) return resync("an answer that is no HTTP: " + call.answer.error());
   if (call.answer.status() == 0) return;
   if (call.answer.status() != 200) return ended(call, "status " + std::to_string(call.answer.status()));
   call.text += call.answer.take();
--- a/src/dns/responder.cpp
+++ b/src/dns/responder.cpp
@@ -74,9 +74,9 @@
         names_.try_emplace(relative.substr(at), NameEntry{NameKind::empty, 0, {}});
       names_[relative] = {NameKind::nameserver, 0, {}};
     }
-  for (std::size_t k = 0; k < settings_.operations.size(); ++k) {
-    names_[to_label(settings_.operations[k])] = {NameKind::service, k, {}};
-    names_[to_label("_" + settings_.operations[k]) + to_label("_tcp")] = {NameKind::srv, k, {}};
+  for (std::size_t index = 0; index < settings_.operations.size(); ++index) {
+    names_[to_label(settings_.operations[index])] = {NameKind::service, index, {}};
+    names_[to_label("_" + settings_.operations[index]) + to_label("_tcp")] = {NameKind::srv, index, {}};
   }
   for (const auto& [id, worker] : *published_->directory)
     names_[to_label(worker.name) + to_label("w")] = {NameKind::worker, 0, id};
@@ -122,14 +122,14 @@
   prepared->ttl = static_cast<std::uint32_t>(published_->lifetime.seconds());
   prepared->directory = published_->directory.get();
   std::vector<SampledLine> all;
-  for (std::size_t k = 0; k < prepared->view->lines.size(); ++k) {
-    const auto& line = prepared->view->lines[k];
+  for (std::size_t index = 0; index < prepared->view->lines.size(); ++index) {
+    const auto& line = prepared->view->lines[index];
     const auto& worker = published_->directory->at(line.backend);
     prepared->targets.push_back(to_label(worker.name) + workers_origin_),
         prepared->endpoints.push_back(worker.at);
-    (worker.at.address.v6 ? prepared->v6 : prepared->v4).push_back(k);
+    (worker.at.address.v6 ? prepared->v6 : prepared->v4).push_back(index);
     (worker.at.address.v6 ? prepared->lines_v6 : prepared->lines_v4).push_back(line);
-    all.push_back({k, line.weight});
+    all.push_back({index, line.weight});
   }
   if (all.size() <= settings_.max_srv_records) {
     const std::size_t base = kHeaderBytes +
@@ -152,8 +152,8 @@
     for (const auto& prepared : row) previous_views.emplace(prepared->view->version, prepared);
   const auto ttl = static_cast<std::uint32_t>(published_->lifetime.seconds());
   std::vector<std::vector<std::shared_ptr<PreparedView>>> next(published_->views.size());
-  for (std::size_t g = 0; g < next.size(); ++g) {
-    for (const auto& view : published_->views[g]) {
+  for (std::size_t group_index = 0; group_index < next.size(); ++group_index) {
+    for (const auto& view : published_->views[group_index]) {
       auto& prepared = previous_views[view->version];
       if (!prepared || prepared->ttl != ttl || prepared->directory != published_->directory.get()) {
         const auto previous = prepared;
@@ -162,11 +162,11 @@
       }
       // A new view continues the sampling sequence and the admission state of the group's previous view.
       const std::size_t operation = view->operation.value;
-      if (g < prepared_.size() && operation < prepared_[g].size() && prepared_[g][operation] != prepared &&
-          prepared->phase.unused())
-        prepared->phase = prepared_[g][operation]->phase,
-        prepared->admission = prepared_[g][operation]->admission;
-      next[g].push_back(prepared);
+      if (group_index < prepared_.size() && operation < prepared_[group_index].size() &&
+          prepared_[group_index][operation] != prepared && prepared->phase.unused())
+        prepared->phase = prepared_[group_index][operation]->phase,
+        prepared->admission = prepared_[group_index][operation]->admission;
+      next[group_index].push_back(prepared);
     }
   }
   prepared_ = std::move(next);
@@ -207,9 +207,9 @@
       return;
     }
     std::vector<Endpoint> endpoints;
-    for (const auto k : coordinator::sample_uniform(v6 ? prepared.lines_v6 : prepared.lines_v4,
-                                                    settings_.max_addresses, prepared.phase.next()))
-      endpoints.push_back(prepared.endpoints[line_indices[k]]);
+    for (const auto index : coordinator::sample_uniform(v6 ? prepared.lines_v6 : prepared.lines_v4,
+                                                        settings_.max_addresses, prepared.phase.next()))
+      endpoints.push_back(prepared.endpoints[line_indices[index]]);
     write_addresses(writer, query, endpoints, prepared.ttl, reply);
   } else if (query.type == Type::TXT) {
     const std::string text =
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -93,7 +93,7 @@
   }
   std::size_t max_body_bytes;
   std::optional<http::parser<MessageTraits<Message>::request, http::string_body>> wire;
-  std::string fault;
+  std::string error;
 };
 
 template <class Message>
@@ -108,12 +108,12 @@
 
 template <class Message>
 std::size_t HttpReader<Message>::feed(std::string_view bytes) {
-  return feed_parser(*parser_->wire, parser_->fault, bytes);
+  return feed_parser(*parser_->wire, parser_->error, bytes);
 }
 
 template <class Message>
 std::optional<Message> HttpReader<Message>::take() {
-  if (!parser_->fault.empty() || !parser_->wire->is_done()) return {};
+  if (!parser_->error.empty() || !parser_->wire->is_done()) return {};
   Message out;
   MessageTraits<Message>::copy(out, parser_->wire->release());
   parser_->reset_parser();
@@ -121,8 +121,8 @@
 }
 
 template <class Message>
-const std::string& HttpReader<Message>::fault() const {
-  return parser_->fault;
+const std::string& HttpReader<Message>::error() const {
+  return parser_->error;
 }
 
 template <class Message>
@@ -195,8 +195,8 @@
     return 0;
   }
   const std::size_t consumed = reader_.feed(bytes);
-  if (!reader_.fault().empty()) {
-    complete(Outcome::malformed, reader_.fault());
+  if (!reader_.error().empty()) {
+    complete(Outcome::malformed, reader_.error());
     return 0;
   }
   if (auto response = reader_.take()) {
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -43,7 +43,7 @@
   HttpReader& operator=(HttpReader&&) noexcept;
   std::size_t feed(std::string_view bytes);
   [[nodiscard]] std::optional<Message> take();     // the message, once complete
-  [[nodiscard]] const std::string& fault() const;  // not empty: the peer sent invalid HTTP
+  [[nodiscard]] const std::string& error() const;  // not empty: the peer sent invalid HTTP
   // The peer closed the connection; true if that completes a message.
   bool end();
 
--- a/src/net/http_stream.cpp
+++ b/src/net/http_stream.cpp
@@ -17,14 +17,14 @@
     beast_parser.body_limit(boost::none);  // an endless stream; the caller bounds the size of each part
   }
   http::response_parser<http::string_body> beast_parser;
-  std::string fault;
+  std::string error;
 };
 
 HttpStream::HttpStream() : parser_{std::make_unique<Parser>()} {}
 HttpStream::~HttpStream() = default;
 
 std::size_t HttpStream::feed(std::string_view bytes) {
-  return feed_parser(parser_->beast_parser, parser_->fault, bytes);
+  return feed_parser(parser_->beast_parser, parser_->error, bytes);
 }
 
 void HttpStream::end() {
@@ -41,6 +41,6 @@
 
 bool HttpStream::done() const { return parser_->beast_parser.is_done(); }
 
-const std::string& HttpStream::fault() const { return parser_->fault; }
+const std::string& HttpStream::error() const { return parser_->error; }
 
 }  // namespace gorsemount::net
--- a/src/net/http_stream.hpp
+++ b/src/net/http_stream.hpp
@@ -20,7 +20,7 @@
   [[nodiscard]] unsigned status() const;  // 0 until the headers are complete
   [[nodiscard]] std::string take();       // body bytes received since the last call
   [[nodiscard]] bool done() const;        // the body is complete
-  [[nodiscard]] const std::string& fault() const;  // not empty: the peer sent invalid HTTP
+  [[nodiscard]] const std::string& error() const;  // not empty: the peer sent invalid HTTP
 
  private:
   struct Parser;
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -119,32 +119,34 @@
 }
 
 bool UdpServer::answer_batch() {
-  Buffers& b = *buffers_;
-  for (std::size_t k = 0; k < kBatch; ++k) {
-    b.in_iovecs[k] = {b.in[k].data(), kMaxRequestBytes};
-    b.in_headers[k] = {};
-    b.in_headers[k].msg_hdr.msg_iov = &b.in_iovecs[k], b.in_headers[k].msg_hdr.msg_iovlen = 1;
-    b.in_headers[k].msg_hdr.msg_name = &b.from[k], b.in_headers[k].msg_hdr.msg_namelen = sizeof b.from[k];
+  Buffers& buffers = *buffers_;
+  for (std::size_t index = 0; index < kBatch; ++index) {
+    buffers.in_iovecs[index] = {buffers.in[index].data(), kMaxRequestBytes};
+    buffers.in_headers[index] = {};
+    buffers.in_headers[index].msg_hdr.msg_iov = &buffers.in_iovecs[index],
+    buffers.in_headers[index].msg_hdr.msg_iovlen = 1;
+    buffers.in_headers[index].msg_hdr.msg_name = &buffers.from[index],
+    buffers.in_headers[index].msg_hdr.msg_namelen = sizeof buffers.from[index];
   }
-  const int received = recvmmsg(fd_.get(), b.in_headers.data(), kBatch, MSG_DONTWAIT, nullptr);
+  const int received = recvmmsg(fd_.get(), buffers.in_headers.data(), kBatch, MSG_DONTWAIT, nullptr);
   if (received <= 0) return received < 0 && errno == EINTR;
   unsigned responses = 0;
-  for (std::size_t k = 0; k < static_cast<std::size_t>(received); ++k) {
+  for (std::size_t index = 0; index < static_cast<std::size_t>(received); ++index) {
     // Truncated by the kernel: longer than the largest valid request.
-    if ((b.in_headers[k].msg_hdr.msg_flags & MSG_TRUNC) != 0) continue;
-    const std::size_t size =
-        answer_({b.in[k].data(), b.in_headers[k].msg_len}, to_endpoint(b.from[k]), b.out[responses]);
+    if ((buffers.in_headers[index].msg_hdr.msg_flags & MSG_TRUNC) != 0) continue;
+    const std::size_t size = answer_({buffers.in[index].data(), buffers.in_headers[index].msg_len},
+                                     to_endpoint(buffers.from[index]), buffers.out[responses]);
     if (size == 0) continue;
-    b.out_iovecs[responses] = {b.out[responses].data(), size};
-    b.out_headers[responses] = {};
-    b.out_headers[responses].msg_hdr.msg_iov = &b.out_iovecs[responses],
-    b.out_headers[responses].msg_hdr.msg_iovlen = 1;
-    b.out_headers[responses].msg_hdr.msg_name = &b.from[k];
-    b.out_headers[responses].msg_hdr.msg_namelen = b.in_headers[k].msg_hdr.msg_namelen;
+    buffers.out_iovecs[responses] = {buffers.out[responses].data(), size};
+    buffers.out_headers[responses] = {};
+    buffers.out_headers[responses].msg_hdr.msg_iov = &buffers.out_iovecs[responses],
+    buffers.out_headers[responses].msg_hdr.msg_iovlen = 1;
+    buffers.out_headers[responses].msg_hdr.msg_name = &buffers.from[index];
+    buffers.out_headers[responses].msg_hdr.msg_namelen = buffers.in_headers[index].msg_hdr.msg_namelen;
     ++responses;
   }
   for (unsigned at = 0; at < responses;) {
-    const int sent = sendmmsg(fd_.get(), b.out_headers.data() + at, responses - at, MSG_DONTWAIT);
+    const int sent = sendmmsg(fd_.get(), buffers.out_headers.data() + at, responses - at, MSG_DONTWAIT);
     if (sent > 0) {
       at += static_cast<unsigned>(sent);
     } else if (errno == EAGAIN || errno == EWOULDBLOCK) {
@@ -158,7 +160,7 @@
 }
 
 void UdpServer::handle_readable() {
-  for (int k = 0; k < kBatchesPerTurn; ++k)
+  for (int index = 0; index < kBatchesPerTurn; ++index)
     if (!answer_batch()) return;
   loop_.call_soon([this, alive = alive_] {
     if (*alive) handle_readable();
@@ -166,7 +168,7 @@
 }
 
 void UdpServer::drain() {
-  for (int k = 0; k < kBatchesPerTurn && answer_batch(); ++k) {
+  for (int index = 0; index < kBatchesPerTurn && answer_batch(); ++index) {
   }
 }
 
--- a/src/probes/load_reply.cpp
+++ b/src/probes/load_reply.cpp
@@ -30,7 +30,7 @@
 std::uint64_t counter(const Json& object, const char* key, const std::string& context) {
   const Json& value = required(object, key, context);
   if (!value.is_number_unsigned() || value.get<std::uint64_t>() > kMaxCounter)
-    throw FormatError{context + "'" + key + "' is not a whole number from 0"};
+    throw FormatError{context + "'" + key + "' is not a non-negative integer"};
   return value.get<std::uint64_t>();
 }
 
@@ -84,7 +84,7 @@
     sample.util = optional_number(object, "util"), sample.queue = optional_number(object, "queue");
     if (const auto counts = object.find("counts"); counts != object.end()) {
       if (!counts->is_array() || counts->size() > kMaxCounts)
-        return std::string{"'counts' is not a list of 20000 at most"};
+        return std::string{"'counts' is not a list of at most 20000 entries"};
       for (std::size_t index = 0; index < counts->size(); ++index) {
         bool known = false;
         auto count =
--- a/src/standins/worker.cpp
+++ b/src/standins/worker.cpp
@@ -51,7 +51,7 @@
           const auto strong = weak.lock();
           if (!strong) return bytes.size();
           const std::size_t used = strong->reader.feed(bytes);
-          if (!strong->reader.fault().empty()) {
+          if (!strong->reader.error().empty()) {
             strong->connection->abort();
             return bytes.size();
           }
--- a/tests/net/net_test.cpp
+++ b/tests/net/net_test.cpp
@@ -257,7 +257,7 @@
   std::string negative = count;
   negative.replace(negative.find("3"), 1, "-3");
   EXPECT_EQ(fault(R"({"boot":"b","uptime_s":1,"counts":[)" + count + "," + negative + "]}"),
-            "counts[1]: 'taken' is not a whole number from 0");
+            "counts[1]: 'taken' is not a non-negative integer");
   std::string stray = count;
   stray.replace(stray.find("10.0.0.0/8"), 10, "10.0.0.1/8");
   EXPECT_EQ(fault(R"({"boot":"b","uptime_s":1,"counts":[)" + stray + "]}"),
