--- a/src/app/record.cpp
+++ b/src/app/record.cpp
@@ -194,8 +194,8 @@
         variants.push_back(std::move(v));
       }
     }
-    lab::WorldSettings world;
-    world.seed = o.first, world.list = !recording.invocations.empty() || !o.out.empty();
+    lab::SimulationSettings world;
+    world.seed = o.first, world.list_completions = !recording.invocations.empty() || !o.out.empty();
     std::string remark;
     if (!recording.invocations.empty()) {
       const auto played = lab::play(fitted.day, {variants.front()}, 1, 1, world, [](double) {});
@@ -215,7 +215,7 @@
             c.service_error, c.zone_error);
       std::printf("  %s\n", remark.empty() ? "matched" : remark.c_str());
     }
-    world.list = !o.out.empty();
+    world.list_completions = !o.out.empty();
     if (!o.window.empty()) {
       const auto played = lab::play_windows(
           fitted.day, variants, {span_of("--window", o.window), span_of("--warm", o.warm), o.part, o.first},
