--- a/src/lab/simulation/simulation.cpp
+++ b/src/lab/simulation/simulation.cpp
@@ -28,149 +28,149 @@
 namespace {
 
 // As the stand-ins behave (standins/client.cpp, standins/forwarder.cpp); the two are compared by a test.
-constexpr double kGiveUp = 0.7;         // of the integration timeout, for one try of a client
-constexpr double kForwarderTime = 0.8;  // and for all tries of a forwarder
-constexpr double kFurther = 0.6;        // no further try begins after this part
-constexpr int kFailures = 4;            // in a row before a forwarder keeps away from a worker
-const Span kAway = Span::seconds(3);
-const Span kLineTakes = Span::seconds(40e-6);  // that a forwarder stands still for each line it reads
-const Span kPatience = Span::seconds(0.3);     // of a client with a DNS server that says nothing
-constexpr double kTooLong = 10;                // times the lifetime, of a client that does not obey
-const Span kRosterLate = Span::seconds(0.5);   // at most, till a coordinator has read a list that changed
-const Span kHealthAgain = Span::seconds(0.06), kHealthTimeout = Span::seconds(0.8);
-const Span kTellCluster = Span::seconds(0.25);
-const Span kPrelude =
-    Span::seconds(1.5);                  // coordinators stand that long before the day begins, as on loopback
-constexpr std::size_t kBuckets = 10;     // a coordinator's polls of an interval come in so many portions
-constexpr std::size_t kLatencies = 400;  // kept of each worker
-
-enum class What : std::uint8_t {
-  ask,
-  enter,
-  arrive,
-  answer,
-  try_over,
-  wait_over,
-  finish,
-  poll,
-  health_again,
-  health_failed,
-  step,
-  wake,
-  report,
-  stream,
-  batch,
-  batch_done,
-  message,
-  cluster_wake,
-  tell,
-  strike_host,
-  trouble,
-  trouble_over,
-  kill,
-  kill_over,
-  phase,
-  roster,
-  second,
-  churn,
-  fault,
-  write_down,
-  watch,
-  person
+constexpr double kClientTryTimeoutShare = 0.7;  // of the integration timeout, for one try of a client
+constexpr double kForwarderTimeoutShare = 0.8;  // and for all tries of a forwarder
+constexpr double kRetryCutoffShare = 0.6;       // no further try begins after this part
+constexpr int kFailuresToEject = 4;             // in a row before a forwarder keeps away from a worker
+const Span kEjectionTime = Span::seconds(3);
+const Span kLineApplyTime = Span::seconds(40e-6);  // that a forwarder stands still for each line it reads
+const Span kDnsTimeout = Span::seconds(0.3);       // of a client with a DNS server that says nothing
+constexpr double kDisobedientLifetimeFactor = 10;  // times the lifetime, of a client that does not obey
+const Span kMaxRosterDelay = Span::seconds(0.5);   // at most, till a coordinator has read a list that changed
+const Span kHealthRetryDelay = Span::seconds(0.06), kHealthTimeout = Span::seconds(0.8);
+const Span kFactExchangeInterval = Span::seconds(0.25);
+const Span kStartupTime =
+    Span::seconds(1.5);  // coordinators stand that long before the day begins, as on loopback
+constexpr std::size_t kPollBuckets = 10;  // a coordinator's polls of an interval come in so many portions
+constexpr std::size_t kLatencySamplesPerWorker = 400;  // kept of each worker
+
+enum class EventType : std::uint8_t {
+  request_due,
+  lookup_done,
+  try_arrives,
+  reply_arrives,
+  try_timeout,
+  caller_timeout,
+  job_finish,
+  load_poll,
+  health_retry,
+  health_timeout,
+  core_step,
+  core_wakeup,
+  report_due,
+  stream_open,
+  batch_arrives,
+  batch_acknowledged,
+  message_arrives,
+  cluster_tick,
+  fact_exchange,
+  process_fault,
+  fault_start,
+  fault_end,
+  process_stop,
+  process_restart,
+  phase_start,
+  roster_update,
+  second_tick,
+  weight_churn,
+  random_fault,
+  store_write,
+  rule_check,
+  operator_command
 };
-enum class Reply : std::uint32_t { well, refused, errored, broken };
+enum class Reply : std::uint32_t { succeeded, refused, errored, no_reply };
 
 struct Event {
   std::int64_t at = 0;
-  std::uint64_t order = 0;
-  What what = What::ask;
-  std::uint32_t a = 0, b = 0, c = 0;
-  bool operator>(const Event& o) const { return at != o.at ? at > o.at : order > o.order; }
+  std::uint64_t sequence = 0;
+  EventType type = EventType::request_due;
+  std::uint32_t target = 0, detail = 0, guard = 0;
+  bool operator>(const Event& o) const { return at != o.at ? at > o.at : sequence > o.sequence; }
 };
 
 struct Invocation {
   bool open = false;
-  std::uint8_t operation = 0, outer = 0, inner = 0, begun = 0, ntried = 0;
-  std::uint32_t proxy = 0, generation = 0, round = 0, worker = 0;
+  std::uint8_t operation = 0, caller_tries = 0, worker_tries = 0, executions = 0, tried_count = 0;
+  std::uint32_t proxy = 0, generation = 0, caller_generation = 0, worker = 0;
   std::array<std::uint16_t, 6> tried{};
   float work = 1;  // of its operation's mean
-  Instant came, forwarded;
+  Instant started_at, forwarded_at;
 };
 
-struct Pick {
+struct WeightedWorker {
   std::uint32_t worker = 0;
-  double upto = 0;
+  double cumulative_weight = 0;
 };
 
 // A forwarder with its callers, or a client that looks up for itself.
 struct Proxy {
-  bool forwarder = false, two_choice = false, by_address = false, obeys = true;
-  std::size_t zone = 0, led_by = 1, first_server = 0;
+  bool forwarder = false, two_choice = false, by_address = false, honors_lifetime = true;
+  std::size_t zone = 0, led_by = 1, first_dns_server = 0;
   double rate = 0;
-  std::mt19937 demand;  // of its own, so that what is asked does not hang on what was answered
-  std::vector<std::vector<Pick>> picks;  // by operation
+  std::mt19937 request_rng;  // of its own, so that what is asked does not hang on what was answered
+  std::vector<std::vector<WeightedWorker>> picks;  // by operation
   // forwarders
   forwarders::Held held;
-  std::uint64_t highest = 0;
-  std::vector<Instant> away;
-  std::vector<std::uint8_t> in_a_row;
-  std::vector<std::uint16_t> out;
-  std::vector<double> level, limit;  // by operation
-  std::vector<int> further;
-  std::vector<std::pair<double, Instant>> tokens;
-  struct Met {
+  std::uint64_t highest_term = 0;
+  std::vector<Instant> ejected_until;
+  std::vector<std::uint8_t> consecutive_failures;
+  std::vector<std::uint16_t> outstanding;
+  std::vector<double> admission_level, rate_limit;  // by operation
+  std::vector<int> retry_mode;
+  std::vector<std::pair<double, Instant>> token_buckets;
+  struct TryCounts {
     int tries = 0, errored = 0;
-    double waited = 0;
+    double latency_sum = 0;
   };
-  std::vector<Met> met;  // by worker and operation, since the last report
-  std::vector<std::uint32_t> touched;
+  std::vector<TryCounts> try_counts;  // by worker and operation, since the last report
+  std::vector<std::uint32_t> changed_counts;
   std::vector<int> arrived;
-  int again = 0;  // further tries since the last report
-  int retries = -1;
-  limits::RetryLimiter meter;
+  int retries_since_report = 0;  // further tries since the last report
+  int retry_budget = -1;
+  limits::RetryLimiter retry_limiter;
   std::optional<TroubleKind> fault;
-  std::optional<Instant> unled_since;
-  bool was_led = false;
-  std::vector<std::optional<Instant>> bare;
+  std::optional<Instant> leaderless_since;
+  bool had_leader = false;
+  std::vector<std::optional<Instant>> unserved_since;
   // clients
-  std::vector<Instant> until;
-  std::vector<std::vector<std::uint32_t>> waiting;
-  std::vector<coordinator::LowDiscrepancySequence> phases;
+  std::vector<Instant> answer_expires;
+  std::vector<std::vector<std::uint32_t>> waiting_lookups;
+  std::vector<coordinator::LowDiscrepancySequence> sampling_phases;
 };
 
 struct Stream {
-  bool up = false, busy = false, taken_over = false;
-  std::uint32_t life = 0;
+  bool up = false, batch_in_flight = false, taken_over = false;
+  std::uint32_t incarnation = 0;
   std::optional<std::uint64_t> term;
-  std::shared_ptr<const coordinator::DesiredTable> wanted;
-  std::uint64_t holds = 0;
+  std::shared_ptr<const coordinator::DesiredTable> desired_table;
+  std::uint64_t applied_version = 0;
 };
 
 struct Batch {
-  std::uint32_t proxy = 0, host = 0, life = 0;
+  std::uint32_t proxy = 0, process = 0, incarnation = 0;
   std::optional<std::uint64_t> term;
   std::vector<forwarders::Change> changes;
-  bool cut = false;  // its sender died while it was sent
+  bool truncated = false;  // its sender died while it was sent
 };
 
-struct Host {
+struct Process {
   std::size_t number = 1, zone = 0;
   std::unique_ptr<Coordinator> core;
   std::unique_ptr<cluster::Cluster> cluster;
-  std::unique_ptr<shared_fleet::ClusterAdapter> part;
-  bool up = false, paused = false, gathering = false;
-  double rate = 1, offset = 0;
+  std::unique_ptr<shared_fleet::ClusterAdapter> cluster_adapter;
+  bool up = false, paused = false, step_scheduled = false;
+  double clock_rate = 1, clock_offset = 0;
   std::vector<Input> inputs;
-  std::vector<Event> missed;  // while it stood still
-  std::uint32_t wake = 0, cluster_wake = 0, life = 0;
+  std::vector<Event> deferred_events;  // while it stood still
+  std::uint32_t wakeup_id = 0, cluster_wakeup_id = 0, incarnation = 0;
   std::shared_ptr<const coordinator::PublishedState> published;
   std::vector<Stream> streams;  // by forwarder
-  std::vector<recovery::Entry> kept;
-  std::optional<Instant> kept_at;             // true time
-  std::vector<std::optional<BackendId>> ids;  // by worker
-  std::vector<bool> asking;                   // a health call without an answer yet
-  std::vector<std::uint16_t> ids_of_fronts;
-  std::vector<std::size_t> fronts;  // by place in its settings
+  std::vector<recovery::Entry> stored_facts;
+  std::optional<Instant> stored_at;                   // true time
+  std::vector<std::optional<BackendId>> backend_ids;  // by worker
+  std::vector<bool> health_pending;                   // a health call without an answer yet
+  std::vector<std::uint16_t> forwarder_ids;
+  std::vector<std::size_t> forwarder_indexes;  // by place in its settings
 };
 
 }  // namespace
@@ -189,1250 +189,1394 @@
 }
 
 std::vector<std::string> Outcome::broken_rules(const Day& day) const {
-  std::vector<std::string> all;
-  if (longest_unserved > day.unserved.seconds()) all.emplace_back("1 nobody left without a worker");
-  if (duplicate_effects > 0) all.emplace_back("2 no effect twice");
-  if (longest_send_after_drain > day.drain_grace.seconds() + 0.05) all.emplace_back("3 drains kept");
-  if (fell > 0 || worst_cold_overload > day.tip_multiple) all.emplace_back("4 no cold worker pushed over");
-  if (most_waiting_lines > day.backlog) all.emplace_back("5 lines waiting in a channel");
-  if (stale_terms_accepted > 0) all.emplace_back("no order of a lower term");
-  if (double_leaders > 0) all.emplace_back("never two leaders");
-  return all;
+  std::vector<std::string> rules;
+  if (longest_unserved > day.unserved.seconds()) rules.emplace_back("1 nobody left without a worker");
+  if (duplicate_effects > 0) rules.emplace_back("2 no effect twice");
+  if (longest_send_after_drain > day.drain_grace.seconds() + 0.05) rules.emplace_back("3 drains kept");
+  if (collapses > 0 || worst_cold_overload > day.tip_multiple)
+    rules.emplace_back("4 no cold worker pushed over");
+  if (most_waiting_lines > day.backlog) rules.emplace_back("5 lines waiting in a channel");
+  if (stale_terms_accepted > 0) rules.emplace_back("no order of a lower term");
+  if (double_leaders > 0) rules.emplace_back("never two leaders");
+  return rules;
 }
 
-coordinator::Settings settings_of(const Day& day, std::size_t number) {
+coordinator::Settings settings_for_coordinator(const Day& day, std::size_t number) {
   config::Findings findings;
-  const auto s = config::read_settings(script::coordinator_settings(day, {}, number, "."), "day", findings);
-  return s.core;
+  const auto read =
+      config::read_settings(script::coordinator_settings(day, {}, number, "."), "day", findings);
+  return read.core;
 }
 
 struct Simulation::State {
   State(const Day& given, SimulationSettings settings)
-      : day{given}, s{std::move(settings)}, chance{static_cast<std::uint32_t>(s.seed)} {
-    s.keep_store = s.keep_store || day.keeps;
+      : day{given}, options{std::move(settings)}, rng{static_cast<std::uint32_t>(options.seed)} {
+    options.keep_store = options.keep_store || day.keeps;
   }
 
   // ---- Time ----------------------------------------------------------------------------------------------
 
-  void at(Instant when, What what, std::uint32_t a = 0, std::uint32_t b = 0, std::uint32_t c = 0) {
-    events.push({std::max((when - Instant{}).micros(), (now - Instant{}).micros()), ++order, what, a, b, c});
+  void schedule_at(Instant when, EventType type, std::uint32_t target = 0, std::uint32_t detail = 0,
+                   std::uint32_t guard = 0) {
+    events.push({std::max((when - Instant{}).micros(), (now - Instant{}).micros()), ++sequence, type, target,
+                 detail, guard});
   }
-  void after(Span span, What what, std::uint32_t a = 0, std::uint32_t b = 0, std::uint32_t c = 0) {
-    at(now + span, what, a, b, c);
+  void schedule_after(Span span, EventType type, std::uint32_t target = 0, std::uint32_t detail = 0,
+                      std::uint32_t guard = 0) {
+    schedule_at(now + span, type, target, detail, guard);
   }
-  [[nodiscard]] Instant local(const Host& h) const {
-    return begin + Span::seconds(h.offset) + (now - begin) * h.rate;
+  [[nodiscard]] Instant local_time(const Process& process) const {
+    return day_start + Span::seconds(process.clock_offset) + (now - day_start) * process.clock_rate;
   }
-  [[nodiscard]] Instant truth(const Host& h, Instant local) const {
+  [[nodiscard]] Instant true_time(const Process& process, Instant local) const {
     // A little later rather than earlier: what is due must be found due.
-    return begin + Span::seconds(((local - begin).seconds() - h.offset) / h.rate) + Span::micros(2);
+    return day_start +
+           Span::seconds(((local - day_start).seconds() - process.clock_offset) / process.clock_rate) +
+           Span::micros(2);
   }
-  double uniform() { return std::uniform_real_distribution<>{}(chance); }
-  [[nodiscard]] Span between(std::size_t a, std::size_t b) const {
-    return a == b ? s.latency : s.latency_across;
+  double uniform() { return std::uniform_real_distribution<>{}(rng); }
+  [[nodiscard]] Span zone_latency(std::size_t a, std::size_t b) const {
+    return a == b ? options.latency : options.cross_zone_latency;
   }
 
   // ---- Who is there --------------------------------------------------------------------------------------
 
   void build() {
-    now = begin - kPrelude;
-    const std::size_t zones = day.zones.size(), ops = day.operations.size();
+    now = day_start - kStartupTime;
+    const std::size_t zones = day.zones.size(), operation_count = day.operations.size();
     const script::Places places;
     for (std::size_t z = 0; z < zones; ++z) sources.push_back({masked(places.clients_of(z).address, 16), 16});
-    fronts = script::forwarders_of(day, places);
+    forwarder_places = script::forwarders_of(day, places);
     // All forwarders stand behind one source: their counts are theirs to tell, and only sums of them matter.
-    if (!fronts.empty()) sources.push_back({masked(fronts[0].at, 24), 24});
+    if (!forwarder_places.empty()) sources.push_back({masked(forwarder_places[0].at, 24), 24});
     roster = script::roster_of(day, places);
-    usual = roster;
+    configured_roster = roster;
     std::map<std::string, std::size_t> numbers;
-    for (const auto& w : day.workers) {
-      WorkerKind k;
-      k.zone = zone_of(w.zone), k.cores = w.cores, k.speed = w.speed, k.queue_most = w.queue_most;
-      k.slots = w.slots > 0 ? w.slots : static_cast<int>(w.cores);
-      k.connect_cost = w.connect_cost.seconds(), k.loss = w.loss, k.cancels = w.cancels;
-      k.cold_for = day.cold_for, k.tip_after = day.tip_after, k.drain_grace = day.drain_grace;
-      k.cold_from = day.cold_from, k.tip_multiple = day.tip_multiple;
-      for (int n = 0; n < w.count; ++n) {
-        workers.emplace_back(script::worker_name(day, k.zone, ++numbers[w.zone]), k, sources, ops);
+    for (const auto& worker : day.workers) {
+      WorkerSpec spec;
+      spec.zone = zone_index(worker.zone), spec.cores = worker.cores, spec.speed = worker.speed,
+      spec.queue_most = worker.queue_most;
+      spec.slots = worker.slots > 0 ? worker.slots : static_cast<int>(worker.cores);
+      spec.connect_cost = worker.connect_cost.seconds(), spec.loss = worker.loss,
+      spec.cancels = worker.cancels;
+      spec.cold_for = day.cold_for, spec.tip_after = day.tip_after, spec.drain_grace = day.drain_grace;
+      spec.cold_from = day.cold_from, spec.tip_multiple = day.tip_multiple;
+      for (int n = 0; n < worker.count; ++n) {
+        workers.emplace_back(script::worker_name(day, spec.zone, ++numbers[worker.zone]), spec, sources,
+                             operation_count);
         workers.back().start(now, false);
       }
     }
-    finishes.assign(workers.size(), 0), told_draining.assign(workers.size(), std::nullopt),
-        late_load.assign(workers.size(), Span{});
-    for (std::size_t w = 0; w < workers.size(); ++w) place[workers[w].name()] = static_cast<std::uint32_t>(w);
-    for (const auto& op : day.operations) shares.push_back(op.share);
-    pick_operation = std::discrete_distribution<int>{shares.begin(), shares.end()};
-    for (std::size_t f = 0; f < fronts.size(); ++f) {
-      Proxy p;
-      p.forwarder = true, p.zone = zone_of(fronts[f].zone), p.led_by = fronts[f].led_by,
-      p.two_choice = fronts[f].kind.two_choice;
-      p.rate = fronts[f].kind.rate * fronts[f].kind.clients / fronts[f].kind.count;
-      p.away.resize(workers.size()), p.in_a_row.resize(workers.size()), p.out.resize(workers.size());
-      p.met.resize(workers.size() * ops), p.arrived.assign(ops, 0), p.tokens.resize(ops), p.bare.resize(ops);
-      proxies.push_back(std::move(p));
-      configure(proxies.back());
+    finish_generation.assign(workers.size(), 0), draining_since.assign(workers.size(), std::nullopt),
+        load_report_delay.assign(workers.size(), Span{});
+    for (std::size_t worker = 0; worker < workers.size(); ++worker)
+      worker_by_name[workers[worker].name()] = static_cast<std::uint32_t>(worker);
+    for (const auto& operation : day.operations) shares.push_back(operation.share);
+    draw_operation = std::discrete_distribution<int>{shares.begin(), shares.end()};
+    for (std::size_t forwarder = 0; forwarder < forwarder_places.size(); ++forwarder) {
+      Proxy proxy;
+      proxy.forwarder = true, proxy.zone = zone_index(forwarder_places[forwarder].zone),
+      proxy.led_by = forwarder_places[forwarder].led_by,
+      proxy.two_choice = forwarder_places[forwarder].kind.two_choice;
+      proxy.rate = forwarder_places[forwarder].kind.rate * forwarder_places[forwarder].kind.clients /
+                   forwarder_places[forwarder].kind.count;
+      proxy.ejected_until.resize(workers.size()), proxy.consecutive_failures.resize(workers.size()),
+          proxy.outstanding.resize(workers.size());
+      proxy.try_counts.resize(workers.size() * operation_count), proxy.arrived.assign(operation_count, 0),
+          proxy.token_buckets.resize(operation_count), proxy.unserved_since.resize(operation_count);
+      proxies.push_back(std::move(proxy));
+      load_initial_table(proxies.back());
     }
     std::map<std::string, std::size_t> clients;
-    for (const auto& c : day.clients)
-      for (int n = 0; n < c.count; ++n) {
-        Proxy p;
-        p.zone = zone_of(c.zone), p.rate = c.rate, p.by_address = n < c.by_address * c.count,
-        p.obeys = n >= c.disobedient;
-        p.first_server = ++clients[c.zone] % day.coordinators.size();
-        p.until.resize(ops), p.waiting.resize(ops), p.phases.resize(ops), p.picks.resize(ops);
-        for (auto& phase : p.phases)
-          for (std::uint64_t k = chance() % 64; k > 0; --k) static_cast<void>(phase.next());
-        proxies.push_back(std::move(p));
+    for (const auto& group : day.clients)
+      for (int n = 0; n < group.count; ++n) {
+        Proxy proxy;
+        proxy.zone = zone_index(group.zone), proxy.rate = group.rate,
+        proxy.by_address = n < group.by_address * group.count, proxy.honors_lifetime = n >= group.disobedient;
+        proxy.first_dns_server = ++clients[group.zone] % day.coordinators.size();
+        proxy.answer_expires.resize(operation_count), proxy.waiting_lookups.resize(operation_count),
+            proxy.sampling_phases.resize(operation_count), proxy.picks.resize(operation_count);
+        for (auto& phase : proxy.sampling_phases)
+          for (std::uint64_t k = rng() % 64; k > 0; --k) static_cast<void>(phase.next());
+        proxies.push_back(std::move(proxy));
       }
-    for (std::size_t p = 0; p < proxies.size(); ++p) {
-      std::seed_seq seed{static_cast<std::uint32_t>(s.seed), static_cast<std::uint32_t>(p)};
-      proxies[p].demand.seed(seed);
+    for (std::size_t proxy = 0; proxy < proxies.size(); ++proxy) {
+      std::seed_seq seed{static_cast<std::uint32_t>(options.seed), static_cast<std::uint32_t>(proxy)};
+      proxies[proxy].request_rng.seed(seed);
     }
-    last_used.assign(proxies.size() * workers.size(), Instant{});
-    groups_bare.resize(zones * ops);
-    out.by_operation.resize(ops), out.by_zone.resize(zones), out.arrivals_by_worker.resize(workers.size());
+    last_connection_use.assign(proxies.size() * workers.size(), Instant{});
+    group_unserved_since.resize(zones * operation_count);
+    outcome.by_operation.resize(operation_count), outcome.by_zone.resize(zones),
+        outcome.arrivals_by_worker.resize(workers.size());
     for (std::size_t n = 1; n <= day.coordinators.size(); ++n) {
-      Host& h = hosts.emplace_back();
-      h.number = n, h.zone = zone_of(day.coordinators[n - 1]);
-      h.rate = 1 + s.clock_drift * (uniform() - 0.5), h.offset = s.clock_drift > 0 ? 1000 * uniform() : 0;
-      start(h);
+      Process& process = processes.emplace_back();
+      process.number = n, process.zone = zone_index(day.coordinators[n - 1]);
+      process.clock_rate = 1 + options.clock_drift * (uniform() - 0.5),
+      process.clock_offset = options.clock_drift > 0 ? 1000 * uniform() : 0;
+      start(process);
     }
-    for (std::size_t p = 0; p < proxies.size(); ++p) next_ask(static_cast<std::uint32_t>(p));
+    for (std::size_t proxy = 0; proxy < proxies.size(); ++proxy)
+      schedule_request(static_cast<std::uint32_t>(proxy));
     for (std::size_t k = 0; k < day.troubles.size(); ++k)
-      at(begin + day.troubles[k].at, What::trouble, static_cast<std::uint32_t>(k));
+      schedule_at(day_start + day.troubles[k].at, EventType::fault_start, static_cast<std::uint32_t>(k));
     for (std::size_t k = 0; k < day.kills.size(); ++k)
-      at(begin + day.kills[k].at, What::kill, static_cast<std::uint32_t>(k));
+      schedule_at(day_start + day.kills[k].at, EventType::process_stop, static_cast<std::uint32_t>(k));
     for (std::size_t k = 0; k < day.phases.size(); ++k)
-      at(begin + day.phases[k].at, What::phase, static_cast<std::uint32_t>(k));
+      schedule_at(day_start + day.phases[k].at, EventType::phase_start, static_cast<std::uint32_t>(k));
     for (std::size_t k = 0; k < day.persons.size(); ++k)
-      at(begin + day.persons[k].at, What::person, static_cast<std::uint32_t>(k));
-    after(Span::seconds(1), What::second);
-    after(Span::seconds(0.1), What::watch);
-    if (day.churn > Span{}) after(day.churn, What::churn);
-    for (int k = 0; k < s.random_faults; ++k)
-      at(begin + Span::seconds(3 + (day.length.seconds() - 9) * uniform()), What::fault);
-  }
-  [[nodiscard]] std::size_t zone_of(const std::string& name) const {
+      schedule_at(day_start + day.persons[k].at, EventType::operator_command, static_cast<std::uint32_t>(k));
+    schedule_after(Span::seconds(1), EventType::second_tick);
+    schedule_after(Span::seconds(0.1), EventType::rule_check);
+    if (day.churn > Span{}) schedule_after(day.churn, EventType::weight_churn);
+    for (int k = 0; k < options.random_faults; ++k)
+      schedule_at(day_start + Span::seconds(3 + (day.length.seconds() - 9) * uniform()),
+                  EventType::random_fault);
+  }
+  [[nodiscard]] std::size_t zone_index(const std::string& name) const {
     return static_cast<std::size_t>(std::find(day.zones.begin(), day.zones.end(), name) - day.zones.begin());
   }
 
   // As its own configuration has it: up to four workers of its zone.
-  void configure(Proxy& p) {
-    p.held = {}, p.highest = 0;
+  void load_initial_table(Proxy& proxy) {
+    proxy.held = {}, proxy.highest_term = 0;
     std::size_t n = 0;
-    for (const auto& line : usual)
-      if (zone_of(line.zone) == p.zone && n++ < 4)
-        for (const auto& op : day.operations)
-          p.held.lines[{op.name, line.name}] = {line.at, 100, forwarders::State::ready};
-    read_table(p);
-  }
-  void read_table(Proxy& p) {
-    const std::size_t ops = day.operations.size();
-    p.picks.assign(ops, {}), p.level.assign(ops, 1), p.limit.assign(ops, -1), p.further.assign(ops, 1);
-    for (std::size_t k = 0; k < ops; ++k) {
-      const std::string& op = day.operations[k].name;
-      double upto = 0;
-      for (auto it = p.held.lines.lower_bound({op, ""}); it != p.held.lines.end() && it->first.first == op;
-           ++it)
+    for (const auto& line : configured_roster)
+      if (zone_index(line.zone) == proxy.zone && n++ < 4)
+        for (const auto& operation : day.operations)
+          proxy.held.lines[{operation.name, line.name}] = {line.at, 100, forwarders::State::ready};
+    apply_table(proxy);
+  }
+  void apply_table(Proxy& proxy) {
+    const std::size_t operation_count = day.operations.size();
+    proxy.picks.assign(operation_count, {}), proxy.admission_level.assign(operation_count, 1),
+        proxy.rate_limit.assign(operation_count, -1), proxy.retry_mode.assign(operation_count, 1);
+    for (std::size_t k = 0; k < operation_count; ++k) {
+      const std::string& operation = day.operations[k].name;
+      double cumulative_weight = 0;
+      for (auto it = proxy.held.lines.lower_bound({operation, ""});
+           it != proxy.held.lines.end() && it->first.first == operation; ++it)
         if (it->second.picked() > 0)
-          if (const auto w = place.find(it->first.second); w != place.end())
-            p.picks[k].push_back({w->second, upto += it->second.picked()});
-      const auto value = [&](const char* what, int otherwise) {
-        const auto it = p.held.values.find(what + op);
-        return it == p.held.values.end() ? otherwise : it->second;
+          if (const auto worker = worker_by_name.find(it->first.second); worker != worker_by_name.end())
+            proxy.picks[k].push_back({worker->second, cumulative_weight += it->second.picked()});
+      const auto value = [&](const char* prefix, int otherwise) {
+        const auto it = proxy.held.values.find(prefix + operation);
+        return it == proxy.held.values.end() ? otherwise : it->second;
       };
-      p.level[k] = value("level_", 1000) / 1000.0, p.further[k] = value("tries_", 1);
-      const int limit = value("rate_", -1);
-      const auto retries = p.held.values.find("retries");
-      p.retries = retries == p.held.values.end() ? -1 : retries->second;
-      p.limit[k] = limit < 0 || limit >= 1'000'000'000 ? -1 : limit / 10.0;
+      proxy.admission_level[k] = value("level_", 1000) / 1000.0, proxy.retry_mode[k] = value("tries_", 1);
+      const int rate_limit = value("rate_", -1);
+      const auto retries = proxy.held.values.find("retries");
+      proxy.retry_budget = retries == proxy.held.values.end() ? -1 : retries->second;
+      proxy.rate_limit[k] = rate_limit < 0 || rate_limit >= 1'000'000'000 ? -1 : rate_limit / 10.0;
     }
   }
 
-  [[nodiscard]] coordinator::DecisionMaker decide(const coordinator::Settings& settings) const {
-    if (s.decision_maker == DecisionMakerKind::fixed_weights) return coordinator::fixed_weights();
-    return s.decision_maker == DecisionMakerKind::zone_local ? coordinator::zone_local()
-                                                             : coordinator::policy_decision_maker(settings);
+  [[nodiscard]] coordinator::DecisionMaker make_decision_maker(const coordinator::Settings& settings) const {
+    if (options.decision_maker == DecisionMakerKind::fixed_weights) return coordinator::fixed_weights();
+    return options.decision_maker == DecisionMakerKind::zone_local
+               ? coordinator::zone_local()
+               : coordinator::policy_decision_maker(settings);
   }
 
   // ---- Coordinators --------------------------------------------------------------------------------------
 
-  void start(Host& h) {
-    h.up = true, h.paused = false, h.gathering = false, ++h.life;
-    h.inputs.clear(), h.missed.clear();
-    h.published.reset(), h.ids.assign(workers.size(), std::nullopt), h.asking.assign(workers.size(), false);
-    h.streams.assign(fronts.size(), {});
-    auto settings = s.settings ? s.settings(h.number) : settings_of(day, h.number);
-    if (s.decision_maker != DecisionMakerKind::policy)
+  void start(Process& process) {
+    process.up = true, process.paused = false, process.step_scheduled = false, ++process.incarnation;
+    process.inputs.clear(), process.deferred_events.clear();
+    process.published.reset(), process.backend_ids.assign(workers.size(), std::nullopt),
+        process.health_pending.assign(workers.size(), false);
+    process.streams.assign(forwarder_places.size(), {});
+    auto settings =
+        options.settings ? options.settings(process.number) : settings_for_coordinator(day, process.number);
+    if (options.decision_maker != DecisionMakerKind::policy)
       settings.spill = false;  // what it is to be compared with
-    h.core = std::make_unique<Coordinator>(settings, decide(settings));
-    h.ids_of_fronts.assign(fronts.size(), 0), h.fronts.clear();
+    process.core = std::make_unique<Coordinator>(settings, make_decision_maker(settings));
+    process.forwarder_ids.assign(forwarder_places.size(), 0), process.forwarder_indexes.clear();
     for (std::size_t k = 0; k < settings.forwarders.size(); ++k)
-      for (std::size_t f = 0; f < fronts.size(); ++f)
-        if (fronts[f].name == settings.forwarders[k].name)
-          h.ids_of_fronts[f] = static_cast<std::uint16_t>(coordinator::kFirstForwarderId + k),
-          h.fronts.push_back(f);
+      for (std::size_t forwarder = 0; forwarder < forwarder_places.size(); ++forwarder)
+        if (forwarder_places[forwarder].name == settings.forwarders[k].name)
+          process.forwarder_ids[forwarder] = static_cast<std::uint16_t>(coordinator::kFirstForwarderId + k),
+          process.forwarder_indexes.push_back(forwarder);
     if (day.shared) {
-      cluster::ClusterSettings c;
-      c.self = cluster::MemberId{static_cast<std::uint16_t>(h.number - 1)};
+      cluster::ClusterSettings cluster_settings;
+      cluster_settings.self = cluster::MemberId{static_cast<std::uint16_t>(process.number - 1)};
       for (std::size_t k = 0; k < day.coordinators.size(); ++k)
-        c.members.push_back(cluster::MemberId{static_cast<std::uint16_t>(k)});
-      c.shards = std::max<std::size_t>(6, fronts.size() / 12);
-      c.term_floor = {static_cast<std::uint64_t>(1000 + (now - begin).micros() / 1000)};
-      c.lease.duration = day.lease, c.lease.max_clock_drift = std::max(0.01, s.clock_drift);
-      c.lease.renew_before = day.lease * 0.67, c.lease.retry_interval = day.lease * 0.1;
-      c.seed = s.seed * 31 + h.number;
-      h.cluster = std::make_unique<cluster::Cluster>(c, local(h));
-      h.part = std::make_unique<shared_fleet::ClusterAdapter>(*h.cluster);
-      after(Span{}, What::cluster_wake, index(h), ++h.cluster_wake);
-      after(Span::seconds(0.25 * uniform()), What::tell, index(h), h.life);
+        cluster_settings.members.push_back(cluster::MemberId{static_cast<std::uint16_t>(k)});
+      cluster_settings.shards = std::max<std::size_t>(6, forwarder_places.size() / 12);
+      cluster_settings.term_floor = {static_cast<std::uint64_t>(1000 + (now - day_start).micros() / 1000)};
+      cluster_settings.lease.duration = day.lease,
+      cluster_settings.lease.max_clock_drift = std::max(0.01, options.clock_drift);
+      cluster_settings.lease.renew_before = day.lease * 0.67,
+      cluster_settings.lease.retry_interval = day.lease * 0.1;
+      cluster_settings.seed = options.seed * 31 + process.number;
+      process.cluster = std::make_unique<cluster::Cluster>(cluster_settings, local_time(process));
+      process.cluster_adapter = std::make_unique<shared_fleet::ClusterAdapter>(*process.cluster);
+      schedule_after(Span{}, EventType::cluster_tick, index(process), ++process.cluster_wakeup_id);
+      schedule_after(Span::seconds(0.25 * uniform()), EventType::fact_exchange, index(process),
+                     process.incarnation);
     }
-    if (s.keep_store && h.kept_at) {
-      auto entries = h.kept;
-      const Instant confirmed = local(h) - (now - *h.kept_at) * h.rate;
+    if (options.keep_store && process.stored_at) {
+      auto entries = process.stored_facts;
+      const Instant confirmed = local_time(process) - (now - *process.stored_at) * process.clock_rate;
       // As it stands on this life's clock.
-      give(h, coordinator::FactsReceived{recovery::select_trusted(entries, confirmed, local(h)).applicable,
-                                         true});
+      add_input(process,
+                coordinator::FactsReceived{
+                    recovery::select_trusted(entries, confirmed, local_time(process)).applicable, true});
     }
-    give_roster(h);
-    for (std::size_t k = 0; k < kBuckets; ++k)
-      after(load_every(h) * (static_cast<double>(k) / kBuckets), What::poll, index(h),
-            static_cast<std::uint32_t>(k), h.life);
-    after(settings.report_every, What::report, index(h), h.life);
-    if (s.keep_store) after(s.written_every, What::write_down, index(h), h.life);
+    add_roster(process);
+    for (std::size_t k = 0; k < kPollBuckets; ++k)
+      schedule_after(load_interval(process) * (static_cast<double>(k) / kPollBuckets), EventType::load_poll,
+                     index(process), static_cast<std::uint32_t>(k), process.incarnation);
+    schedule_after(settings.report_every, EventType::report_due, index(process), process.incarnation);
+    if (options.keep_store)
+      schedule_after(options.store_interval, EventType::store_write, index(process), process.incarnation);
     if (!day.shared)
-      for (std::size_t f = 0; f < fronts.size(); ++f)
-        if (fronts[f].led_by == h.number) open_stream(h, f, std::nullopt, false);
+      for (std::size_t forwarder = 0; forwarder < forwarder_places.size(); ++forwarder)
+        if (forwarder_places[forwarder].led_by == process.number)
+          open_stream(process, forwarder, std::nullopt, false);
   }
-  [[nodiscard]] std::uint32_t index(const Host& h) const { return static_cast<std::uint32_t>(h.number - 1); }
-  [[nodiscard]] Span load_every(const Host& h) const {
-    return s.load_every > Span{} ? s.load_every : h.core->settings().report_every;
+  [[nodiscard]] std::uint32_t index(const Process& process) const {
+    return static_cast<std::uint32_t>(process.number - 1);
+  }
+  [[nodiscard]] Span load_interval(const Process& process) const {
+    return options.load_interval > Span{} ? options.load_interval : process.core->settings().report_every;
   }
 
-  void stop(Host& h) {
-    h.up = false, h.paused = false, ++h.life;
-    for (std::size_t f = 0; f < h.streams.size(); ++f)
-      if (h.streams[f].up) lost_leader(f);
-    h.core.reset(), h.part.reset(), h.cluster.reset();
+  void stop(Process& process) {
+    process.up = false, process.paused = false, ++process.incarnation;
+    for (std::size_t forwarder = 0; forwarder < process.streams.size(); ++forwarder)
+      if (process.streams[forwarder].up) clear_unserved(forwarder);
+    process.core.reset(), process.cluster_adapter.reset(), process.cluster.reset();
     // What it was writing ends anywhere.
-    for (auto& [n, batch] : batches)
-      if (batch.host == index(h)) batch.cut = true;
+    for (auto& [id, batch] : batches)
+      if (batch.process == index(process)) batch.truncated = true;
   }
 
-  void lost_leader(std::size_t f) {
-    for (auto& bare : proxies[f].bare) bare.reset();
+  void clear_unserved(std::size_t forwarder) {
+    for (auto& unserved_since : proxies[forwarder].unserved_since) unserved_since.reset();
   }
 
-  void give(Host& h, Input input) {
-    h.inputs.push_back(std::move(input));
-    if (h.gathering || !h.up) return;
-    h.gathering = true;
-    after(s.gather, What::step, index(h), h.life);
+  void add_input(Process& process, Input input) {
+    process.inputs.push_back(std::move(input));
+    if (process.step_scheduled || !process.up) return;
+    process.step_scheduled = true;
+    schedule_after(options.input_window, EventType::core_step, index(process), process.incarnation);
   }
 
-  void give_roster(Host& h) {
+  void add_roster(Process& process) {
     std::vector<coordinator::RosterEntry> entries;
     for (const auto& line : roster) {
-      coordinator::RosterEntry e;
-      e.name = line.name, e.zone = ZoneId{static_cast<std::uint16_t>(zone_of(line.zone))}, e.at = line.at,
-      e.weight = line.weight;
-      e.availability = line.draining ? Availability::draining : Availability::ready;
-      entries.push_back(std::move(e));
+      coordinator::RosterEntry entry;
+      entry.name = line.name, entry.zone = ZoneId{static_cast<std::uint16_t>(zone_index(line.zone))},
+      entry.at = line.at, entry.weight = line.weight;
+      entry.availability = line.draining ? Availability::draining : Availability::ready;
+      entries.push_back(std::move(entry));
     }
-    give(h, coordinator::RosterUpdate{std::move(entries)});
-  }
-
-  void step(Host& h) {
-    h.gathering = false;
-    const Instant t = local(h);
-    const auto inputs = std::exchange(h.inputs, {});
-    const auto effects = h.core->step(t, inputs);
-    if (s.on_step) s.on_step(h.number, t, inputs, effects);
-    if (effects.published) h.published = effects.published;
-    for (const auto& m : effects.messages)
-      out.most_waiting_lines = std::max(out.most_waiting_lines, m.waiting);
-    for (const auto& d : effects.deliveries) {
-      const std::size_t f = front_of(h, d.forwarder);
-      h.streams[f].wanted = d.table;
-      advance(h, f);
+    add_input(process, coordinator::RosterUpdate{std::move(entries)});
+  }
+
+  void step(Process& process) {
+    process.step_scheduled = false;
+    const Instant local_now = local_time(process);
+    const auto inputs = std::exchange(process.inputs, {});
+    const auto effects = process.core->step(local_now, inputs);
+    if (options.on_step) options.on_step(process.number, local_now, inputs, effects);
+    if (effects.published) process.published = effects.published;
+    for (const auto& message : effects.messages)
+      outcome.most_waiting_lines = std::max(outcome.most_waiting_lines, message.waiting);
+    for (const auto& delivery : effects.deliveries) {
+      const std::size_t forwarder = forwarder_index(process, delivery.forwarder);
+      process.streams[forwarder].desired_table = delivery.table;
+      send_next_batch(process, forwarder);
     }
-    for (const auto& n : effects.log_events)
-      if (!out.samples.empty() && out.samples.back().warnings.size() < 20 &&
-          n.severity == coordinator::LogEvent::Severity::warning)
-        out.samples.back().warnings.push_back(n.event);
-    at(truth(h, effects.next_wakeup), What::wake, index(h), ++h.wake);
-  }
-
-  void poll(Host& h, std::uint32_t bucket) {
-    for (std::size_t w = bucket; w < workers.size(); w += kBuckets) {
-      if (!h.ids[w]) h.ids[w] = h.core->backend_id(workers[w].name());
-      if (!h.ids[w]) continue;
-      const Span there = between(h.zone, workers[w].kind().zone);
-      const bool cut = is_cut(h.zone, workers[w].kind().zone);
-      if (!workers[w].up()) {
-        give(h, coordinator::LoadPollFailed{*h.ids[w], cut ? "timeout" : "refused"});
-      } else if (cut || workers[w].struck() == TroubleKind::silent) {
-        give(h, coordinator::LoadPollFailed{*h.ids[w], "timeout"});
+    for (const auto& log_event : effects.log_events)
+      if (!outcome.samples.empty() && outcome.samples.back().warnings.size() < 20 &&
+          log_event.severity == coordinator::LogEvent::Severity::warning)
+        outcome.samples.back().warnings.push_back(log_event.event);
+    schedule_at(true_time(process, effects.next_wakeup), EventType::core_wakeup, index(process),
+                ++process.wakeup_id);
+  }
+
+  void poll_load(Process& process, std::uint32_t bucket) {
+    for (std::size_t worker = bucket; worker < workers.size(); worker += kPollBuckets) {
+      if (!process.backend_ids[worker])
+        process.backend_ids[worker] = process.core->backend_id(workers[worker].name());
+      if (!process.backend_ids[worker]) continue;
+      const Span network_latency = zone_latency(process.zone, workers[worker].spec().zone);
+      const bool link_cut = is_link_cut(process.zone, workers[worker].spec().zone);
+      if (!workers[worker].up()) {
+        add_input(process, coordinator::LoadPollFailed{*process.backend_ids[worker],
+                                                       link_cut ? "timeout" : "refused"});
+      } else if (link_cut || workers[worker].fault() == TroubleKind::silent) {
+        add_input(process, coordinator::LoadPollFailed{*process.backend_ids[worker], "timeout"});
       } else {
         // What is slow to tell, tells of the past.
-        const Span late = late_load[w];
-        give(h, coordinator::LoadReport{*h.ids[w], local(h) - there * 2 - late, workers[w].load(now)});
+        const Span delay = load_report_delay[worker];
+        add_input(process, coordinator::LoadReport{*process.backend_ids[worker],
+                                                   local_time(process) - network_latency * 2 - delay,
+                                                   workers[worker].load_sample(now)});
       }
     }
-    health(h, bucket);
+    check_health(process, bucket);
   }
-  void health(Host& h, std::uint32_t bucket) {
+  void check_health(Process& process, std::uint32_t bucket) {
     // Twice in the interval of load replies, as in service.
-    for (std::size_t w = bucket % (kBuckets / 2); w < workers.size(); w += kBuckets / 2)
-      if (h.ids[w] && !h.asking[w] && !one_health(h, w))
-        after(kHealthAgain, What::health_again, index(h), static_cast<std::uint32_t>(w), h.life);
-  }
-  bool one_health(Host& h, std::size_t w) {
-    const bool cut = is_cut(h.zone, workers[w].kind().zone);
-    const Span there = between(h.zone, workers[w].kind().zone) * 2;
-    const auto wait = cut ? std::nullopt : workers[w].health(now);
-    const bool refused = !cut && !workers[w].up();
-    const bool well = wait && *wait < kHealthTimeout.seconds();
-    if (!well && !refused) {
+    for (std::size_t worker = bucket % (kPollBuckets / 2); worker < workers.size();
+         worker += kPollBuckets / 2)
+      if (process.backend_ids[worker] && !process.health_pending[worker] &&
+          !check_health_once(process, worker))
+        schedule_after(kHealthRetryDelay, EventType::health_retry, index(process),
+                       static_cast<std::uint32_t>(worker), process.incarnation);
+  }
+  bool check_health_once(Process& process, std::size_t worker) {
+    const bool link_cut = is_link_cut(process.zone, workers[worker].spec().zone);
+    const Span round_trip = zone_latency(process.zone, workers[worker].spec().zone) * 2;
+    const auto latency = link_cut ? std::nullopt : workers[worker].health_latency(now);
+    const bool refused = !link_cut && !workers[worker].up();
+    const bool succeeded = latency && *latency < kHealthTimeout.seconds();
+    if (!succeeded && !refused) {
       // Nothing comes, and the next call waits for that to be known.
-      h.asking[w] = true;
-      after(kHealthTimeout, What::health_failed, index(h), static_cast<std::uint32_t>(w), h.life);
+      process.health_pending[worker] = true;
+      schedule_after(kHealthTimeout, EventType::health_timeout, index(process),
+                     static_cast<std::uint32_t>(worker), process.incarnation);
       return true;
     }
-    give(h, coordinator::HealthCheckResult{*h.ids[w],
-                                           well      ? coordinator::Health::passed
-                                           : refused ? coordinator::Health::refused
-                                                     : coordinator::Health::failed,
-                                           well ? Span::seconds(*wait) + there : kHealthTimeout});
-    return well;
+    add_input(process, coordinator::HealthCheckResult{
+                           *process.backend_ids[worker],
+                           succeeded ? coordinator::Health::passed
+                           : refused ? coordinator::Health::refused
+                                     : coordinator::Health::failed,
+                           succeeded ? Span::seconds(*latency) + round_trip : kHealthTimeout});
+    return succeeded;
+  }
+  [[nodiscard]] bool is_link_cut(std::size_t a, std::size_t b) const {
+    return cut_zone_links.contains({a, b});
   }
-  [[nodiscard]] bool is_cut(std::size_t a, std::size_t b) const { return cut_zones.contains({a, b}); }
 
   // ---- Leading forwarders --------------------------------------------------------------------------------
 
-  void open_stream(Host& h, std::size_t f, std::optional<std::uint64_t> term, bool taken_over) {
-    Stream& st = h.streams[f];
-    st = {false, false, taken_over, st.life + 1, term, {}, 0};
-    after(between(h.zone, proxies[f].zone) * 4, What::stream, index(h), static_cast<std::uint32_t>(f),
-          st.life);
-  }
-  void close_stream(Host& h, std::size_t f) {
-    Stream& st = h.streams[f];
-    if (st.up) {
-      give(h, coordinator::ForwarderLeft{proxy_id(h, f)});
-      lost_leader(f);
+  void open_stream(Process& process, std::size_t forwarder, std::optional<std::uint64_t> term,
+                   bool taken_over) {
+    Stream& stream = process.streams[forwarder];
+    stream = {false, false, taken_over, stream.incarnation + 1, term, {}, 0};
+    schedule_after(zone_latency(process.zone, proxies[forwarder].zone) * 4, EventType::stream_open,
+                   index(process), static_cast<std::uint32_t>(forwarder), stream.incarnation);
+  }
+  void close_stream(Process& process, std::size_t forwarder) {
+    Stream& stream = process.streams[forwarder];
+    if (stream.up) {
+      add_input(process, coordinator::ForwarderLeft{proxy_id(process, forwarder)});
+      clear_unserved(forwarder);
     }
-    st = {false, false, false, st.life + 1, std::nullopt, {}, 0};
+    stream = {false, false, false, stream.incarnation + 1, std::nullopt, {}, 0};
   }
   // A coordinator that shares nothing knows its own forwarders only; their places in its settings are theirs
   // there.
-  [[nodiscard]] ProxyId proxy_id(const Host& h, std::size_t f) const { return ProxyId{h.ids_of_fronts[f]}; }
-
-  static std::size_t front_of(const Host& h, ProxyId id) {
-    return h.fronts.at(id.value - coordinator::kFirstForwarderId);
-  }
-
-  void stream_stands(Host& h, std::size_t f) {
-    Stream& st = h.streams[f];
-    Proxy& p = proxies[f];
-    st.up = true;
-    if (h.cluster && p.highest > 0)
-      h.cluster->observe_term(local(h), h.part->shard_of(proxy_id(h, f), h.core->settings()), {p.highest});
-    if (st.term && s.fencing) p.highest = std::max(p.highest, *st.term);
-    out.takeovers += st.taken_over ? 1 : 0;
-    std::map<std::string, double> holds;
-    for (const auto& [key, line] : p.held.lines)
+  [[nodiscard]] ProxyId proxy_id(const Process& process, std::size_t forwarder) const {
+    return ProxyId{process.forwarder_ids[forwarder]};
+  }
+
+  static std::size_t forwarder_index(const Process& process, ProxyId id) {
+    return process.forwarder_indexes.at(id.value - coordinator::kFirstForwarderId);
+  }
+
+  void stream_opened(Process& process, std::size_t forwarder) {
+    Stream& stream = process.streams[forwarder];
+    Proxy& proxy = proxies[forwarder];
+    stream.up = true;
+    if (process.cluster && proxy.highest_term > 0)
+      process.cluster->observe_term(
+          local_time(process),
+          process.cluster_adapter->shard_of(proxy_id(process, forwarder), process.core->settings()),
+          {proxy.highest_term});
+    if (stream.term && options.fencing) proxy.highest_term = std::max(proxy.highest_term, *stream.term);
+    outcome.takeovers += stream.taken_over ? 1 : 0;
+    std::map<std::string, double> weights;
+    for (const auto& [key, line] : proxy.held.lines)
       if (line.picked() > 0)
-        holds[key.second] = std::max(holds[key.second], static_cast<double>(line.picked()));
-    give(h, coordinator::ForwarderJoined{proxy_id(h, f), st.taken_over, std::move(holds)});
-  }
-
-  void advance(Host& h, std::size_t f) {
-    Stream& st = h.streams[f];
-    if (!st.up || !st.wanted || st.busy) return;
-    if (h.cluster && !h.cluster->held_term(h.part->shard_of(proxy_id(h, f), h.core->settings()), local(h)))
+        weights[key.second] = std::max(weights[key.second], static_cast<double>(line.picked()));
+    add_input(process, coordinator::ForwarderJoined{proxy_id(process, forwarder), stream.taken_over,
+                                                    std::move(weights)});
+  }
+
+  void send_next_batch(Process& process, std::size_t forwarder) {
+    Stream& stream = process.streams[forwarder];
+    if (!stream.up || !stream.desired_table || stream.batch_in_flight) return;
+    if (process.cluster &&
+        !process.cluster->held_term(
+            process.cluster_adapter->shard_of(proxy_id(process, forwarder), process.core->settings()),
+            local_time(process)))
       return;
     // The driver knows what the forwarder holds from its answers; the plan is made once for equal ones.
-    if (!(way_wanted == st.wanted && way_from == proxies[f].held))
-      way_wanted = st.wanted, way_from = proxies[f].held,
-      way = forwarders::plan(proxies[f].held, *st.wanted, true);
-    if (way.empty()) {
-      if (st.holds != st.wanted->version) {
-        st.holds = st.wanted->version;
-        give(h, coordinator::ForwarderAppliedTable{proxy_id(h, f), st.holds});
+    if (!(planned_table == stream.desired_table && planned_from == proxies[forwarder].held))
+      planned_table = stream.desired_table, planned_from = proxies[forwarder].held,
+      planned_changes = forwarders::plan(proxies[forwarder].held, *stream.desired_table, true);
+    if (planned_changes.empty()) {
+      if (stream.applied_version != stream.desired_table->version) {
+        stream.applied_version = stream.desired_table->version;
+        add_input(process,
+                  coordinator::ForwarderAppliedTable{proxy_id(process, forwarder), stream.applied_version});
       }
       return;
     }
-    st.busy = true;
-    const std::uint32_t n = ++batch_number;
-    const Span takes = kLineTakes * static_cast<double>(way.size()) + between(h.zone, proxies[f].zone);
-    batches[n] = {static_cast<std::uint32_t>(f), index(h), st.life, st.term, way, false};
-    after(takes, What::batch, n);
+    stream.batch_in_flight = true;
+    const std::uint32_t batch_id = ++last_batch_id;
+    const Span apply_time = kLineApplyTime * static_cast<double>(planned_changes.size()) +
+                            zone_latency(process.zone, proxies[forwarder].zone);
+    batches[batch_id] = {static_cast<std::uint32_t>(forwarder),
+                         index(process),
+                         stream.incarnation,
+                         stream.term,
+                         planned_changes,
+                         false};
+    schedule_after(apply_time, EventType::batch_arrives, batch_id);
     // Struck while its orders are half sent.
-    if (const auto armed = armed_hosts.extract(index(h)); !armed.empty())
-      after(takes * uniform(), What::strike_host, index(h), armed.mapped() ? 1 : 0);
+    if (const auto armed = armed_processes.extract(index(process)); !armed.empty())
+      schedule_after(apply_time * uniform(), EventType::process_fault, index(process),
+                     armed.mapped() ? 1 : 0);
   }
 
-  void batch(std::uint32_t n) {
-    const auto node = batches.extract(n);
+  void apply_batch(std::uint32_t batch_id) {
+    const auto node = batches.extract(batch_id);
     if (node.empty()) return;
-    const Batch& b = node.mapped();
-    Proxy& p = proxies[b.proxy];
-    if (p.fault == TroubleKind::forwarder_refuse) return;
-    if (b.term) {
-      if (*b.term < p.highest && s.fencing) {
-        ++out.stale_terms_rejected;
+    const Batch& batch = node.mapped();
+    Proxy& proxy = proxies[batch.proxy];
+    if (proxy.fault == TroubleKind::forwarder_refuse) return;
+    if (batch.term) {
+      if (*batch.term < proxy.highest_term && options.fencing) {
+        ++outcome.stale_terms_rejected;
         return;
       }
-      if (*b.term < obeyed[b.proxy]) ++out.stale_terms_accepted;
-      obeyed[b.proxy] = std::max(obeyed[b.proxy], *b.term);
-      p.highest = std::max(p.highest, *b.term);
+      if (*batch.term < highest_applied_term[batch.proxy]) ++outcome.stale_terms_accepted;
+      highest_applied_term[batch.proxy] = std::max(highest_applied_term[batch.proxy], *batch.term);
+      proxy.highest_term = std::max(proxy.highest_term, *batch.term);
     }
-    std::size_t upto = b.changes.size();
-    if (b.cut) upto = chance() % (b.changes.size() + 1), ++out.partial_batches;
-    for (std::size_t k = 0; k < upto; ++k) forwarders::apply(p.held, b.changes[k]);
-    read_table(p);
-    if (!b.cut) after(between(hosts[b.host].zone, p.zone), What::batch_done, b.host, b.proxy, b.life);
-  }
-
-  void report(Host& h) {
-    const std::size_t ops = day.operations.size();
-    for (std::size_t f = 0; f < fronts.size(); ++f) {
-      if (!h.streams[f].up) continue;
-      Proxy& p = proxies[f];
-      coordinator::ForwarderReport met{proxy_id(h, f), {}, {}, std::exchange(p.again, 0)};
-      for (const auto key : p.touched) {
-        auto& m = p.met[key];
-        const auto id = h.ids[key / ops];
-        if (id && m.tries > 0)
-          met.rows.push_back({*id, OperationId{static_cast<std::uint8_t>(key % ops)}, m.tries, m.errored,
-                              Span::seconds(m.tries > m.errored ? m.waited / (m.tries - m.errored) : 0)});
-        m = {};
+    std::size_t change_count = batch.changes.size();
+    if (batch.truncated) change_count = rng() % (batch.changes.size() + 1), ++outcome.partial_batches;
+    for (std::size_t k = 0; k < change_count; ++k) forwarders::apply(proxy.held, batch.changes[k]);
+    apply_table(proxy);
+    if (!batch.truncated)
+      schedule_after(zone_latency(processes[batch.process].zone, proxy.zone), EventType::batch_acknowledged,
+                     batch.process, batch.proxy, batch.incarnation);
+  }
+
+  void send_report(Process& process) {
+    const std::size_t operation_count = day.operations.size();
+    for (std::size_t forwarder = 0; forwarder < forwarder_places.size(); ++forwarder) {
+      if (!process.streams[forwarder].up) continue;
+      Proxy& proxy = proxies[forwarder];
+      coordinator::ForwarderReport forwarder_report{
+          proxy_id(process, forwarder), {}, {}, std::exchange(proxy.retries_since_report, 0)};
+      for (const auto key : proxy.changed_counts) {
+        auto& counts = proxy.try_counts[key];
+        const auto id = process.backend_ids[key / operation_count];
+        if (id && counts.tries > 0)
+          forwarder_report.rows.push_back(
+              {*id, OperationId{static_cast<std::uint8_t>(key % operation_count)}, counts.tries,
+               counts.errored,
+               Span::seconds(counts.tries > counts.errored
+                                 ? counts.latency_sum / (counts.tries - counts.errored)
+                                 : 0)});
+        counts = {};
       }
-      p.touched.clear();
-      for (std::size_t k = 0; k < ops; ++k)
-        met.arrived.emplace_back(OperationId{static_cast<std::uint8_t>(k)}, std::exchange(p.arrived[k], 0));
-      give(h, std::move(met));
+      proxy.changed_counts.clear();
+      for (std::size_t k = 0; k < operation_count; ++k)
+        forwarder_report.arrived.emplace_back(OperationId{static_cast<std::uint8_t>(k)},
+                                              std::exchange(proxy.arrived[k], 0));
+      add_input(process, std::move(forwarder_report));
     }
   }
 
   // ---- Between coordinators ------------------------------------------------------------------------------
 
-  void tick_cluster(Host& h) {
-    for (auto& m : h.cluster->tick(local(h))) {
-      const std::size_t to = m.to.value;
-      out.cluster_bytes += 80 + 11 * m.updates.size() +
-                           (std::holds_alternative<cluster::ReplicationBatch>(m.body)
-                                ? std::get<cluster::ReplicationBatch>(m.body).facts.size()
-                                : 0);
-      if (cut_hosts.contains({index(h), to}) || (loss > 0 && uniform() < loss)) continue;
-      const std::uint32_t n = ++message_number;
-      messages[n] = std::move(m);
-      const double wait = 0.0005 + 0.002 * uniform() + (slow_hosts.contains({index(h), to}) ? 0.2 : 0);
-      after(Span::seconds(wait), What::message, static_cast<std::uint32_t>(to), n);
+  void tick_cluster(Process& process) {
+    for (auto& message : process.cluster->tick(local_time(process))) {
+      const std::size_t recipient = message.to.value;
+      outcome.cluster_bytes += 80 + 11 * message.updates.size() +
+                               (std::holds_alternative<cluster::ReplicationBatch>(message.body)
+                                    ? std::get<cluster::ReplicationBatch>(message.body).facts.size()
+                                    : 0);
+      if (cut_process_links.contains({index(process), recipient}) ||
+          (message_loss > 0 && uniform() < message_loss))
+        continue;
+      const std::uint32_t message_id = ++last_message_id;
+      messages[message_id] = std::move(message);
+      const double delay =
+          0.0005 + 0.002 * uniform() + (slow_process_links.contains({index(process), recipient}) ? 0.2 : 0);
+      schedule_after(Span::seconds(delay), EventType::message_arrives, static_cast<std::uint32_t>(recipient),
+                     message_id);
     }
-    follow(h, h.part->poll_leadership(local(h), h.core->settings()));
-    const Instant wake = truth(h, h.cluster->wake_at());
-    at(std::max(now + Span::seconds(0.005), std::min(wake, now + Span::seconds(0.05))), What::cluster_wake,
-       index(h), ++h.cluster_wake);
-  }
-  void follow(Host& h, shared_fleet::ClusterUpdate turn) {
-    for (auto& input : turn.inputs) give(h, std::move(input));
-    for (const auto& lead : turn.lead_changes) {
-      const std::size_t f = front_of(h, lead.forwarder);
-      if (h.streams[f].up || lead.before) close_stream(h, f);
-      if (lead.now) open_stream(h, f, lead.now->value, true);
+    apply_cluster_update(
+        process, process.cluster_adapter->poll_leadership(local_time(process), process.core->settings()));
+    const Instant wake = true_time(process, process.cluster->wake_at());
+    schedule_at(std::max(now + Span::seconds(0.005), std::min(wake, now + Span::seconds(0.05))),
+                EventType::cluster_tick, index(process), ++process.cluster_wakeup_id);
+  }
+  void apply_cluster_update(Process& process, shared_fleet::ClusterUpdate update) {
+    for (auto& input : update.inputs) add_input(process, std::move(input));
+    for (const auto& lead : update.lead_changes) {
+      const std::size_t forwarder = forwarder_index(process, lead.forwarder);
+      if (process.streams[forwarder].up || lead.before) close_stream(process, forwarder);
+      if (lead.now) open_stream(process, forwarder, lead.now->value, true);
     }
   }
 
-  void fault() {
-    const std::size_t k = chance() % hosts.size(), j = chance() % hosts.size();
-    const auto part = [&](bool both) {
-      for (std::size_t o = 0; o < hosts.size(); ++o) {
-        cut_hosts.insert({k, o});
-        if (both) cut_hosts.insert({o, k});
+  void inject_random_fault() {
+    const std::size_t isolated = rng() % processes.size(), peer = rng() % processes.size();
+    const auto isolate = [&](bool both) {
+      for (std::size_t other = 0; other < processes.size(); ++other) {
+        cut_process_links.insert({isolated, other});
+        if (both) cut_process_links.insert({other, isolated});
       }
     };
-    switch (chance() % 9) {
+    switch (rng() % 9) {
       case 0:
-        armed_hosts[k] = false;
+        armed_processes[isolated] = false;
         break;
       case 1:
       case 2:
-        for (auto& o : hosts)
-          if (!o.up) start(o);
+        for (auto& other : processes)
+          if (!other.up) start(other);
         break;
       case 3:
-        armed_hosts[k] = true;
+        armed_processes[isolated] = true;
         break;
       case 4:
-        for (auto& o : hosts) resume(o);
+        for (auto& other : processes) resume(other);
         break;
       case 5:
-        part(chance() % 2 == 0);
+        isolate(rng() % 2 == 0);
         break;
       case 6:
-        cut_hosts.clear(), slow_hosts.clear(), loss = 0;
+        cut_process_links.clear(), slow_process_links.clear(), message_loss = 0;
         break;
       case 7:
-        loss = 0.3 * uniform();
+        message_loss = 0.3 * uniform();
         break;
       default:
-        slow_hosts.insert({k, j});
+        slow_process_links.insert({isolated, peer});
         break;
     }
   }
-  void heal() {
-    armed_hosts.clear(), cut_hosts.clear(), slow_hosts.clear(), loss = 0;
-    for (auto& h : hosts) {
-      resume(h);
-      if (!h.up) start(h);
+  void clear_random_faults() {
+    armed_processes.clear(), cut_process_links.clear(), slow_process_links.clear(), message_loss = 0;
+    for (auto& process : processes) {
+      resume(process);
+      if (!process.up) start(process);
     }
   }
-  void pause(Host& h) {
-    if (!h.up || h.paused) return;
-    h.paused = true;
+  void pause(Process& process) {
+    if (!process.up || process.paused) return;
+    process.paused = true;
     // What it had given to its kernel may come at any later time.
-    for (auto& [n, b] : batches)
-      if (b.host == index(h) && chance() % 5 != 0) late_batches.push_back(n);
-    for (const auto n : late_batches) held_batches.insert(n);
-  }
-  void resume(Host& h) {
-    if (!h.paused) return;
-    h.paused = false;
-    for (const auto n : std::exchange(late_batches, {})) {
-      held_batches.erase(n);
-      after(Span::seconds(0.001), What::batch, n);
+    for (auto& [id, batch] : batches)
+      if (batch.process == index(process) && rng() % 5 != 0) delayed_batches.push_back(id);
+    for (const auto id : delayed_batches) withheld_batches.insert(id);
+  }
+  void resume(Process& process) {
+    if (!process.paused) return;
+    process.paused = false;
+    for (const auto batch_id : std::exchange(delayed_batches, {})) {
+      withheld_batches.erase(batch_id);
+      schedule_after(Span::seconds(0.001), EventType::batch_arrives, batch_id);
     }
-    for (const auto& e : std::exchange(h.missed, {})) at(now, e.what, e.a, e.b, e.c);
+    for (const auto& e : std::exchange(process.deferred_events, {}))
+      schedule_at(now, e.type, e.target, e.detail, e.guard);
   }
 
   // ---- Invocations ---------------------------------------------------------------------------------------
 
   // What each can do now, drains kept.
-  void look_through() {
-    oracle.clear();
-    double upto = 0;
-    for (std::uint32_t w = 0; w < workers.size(); ++w)
-      if (const double able = told_draining[w] ? 0 : workers[w].able(now); able > 0)
-        oracle.push_back({w, upto += able});
+  void update_oracle() {
+    oracle_picks.clear();
+    double cumulative_weight = 0;
+    for (std::uint32_t worker = 0; worker < workers.size(); ++worker)
+      if (const double capacity = draining_since[worker] ? 0 : workers[worker].capacity(now); capacity > 0)
+        oracle_picks.push_back({worker, cumulative_weight += capacity});
   }
 
-  void next_ask(std::uint32_t p) {
-    const double rate = proxies[p].rate * pace;
+  void schedule_request(std::uint32_t proxy_index) {
+    const double rate = proxies[proxy_index].rate * rate_factor;
     if (rate <= 0) return;
-    after(Span::seconds(std::exponential_distribution<>{rate}(proxies[p].demand)), What::ask, p, paces);
+    schedule_after(Span::seconds(std::exponential_distribution<>{rate}(proxies[proxy_index].request_rng)),
+                   EventType::request_due, proxy_index, rate_generation);
   }
 
-  void ask(std::uint32_t p) {
-    std::uint32_t n = 0;
-    if (free.empty()) {
-      n = static_cast<std::uint32_t>(invocations.size());
+  void start_invocation(std::uint32_t proxy_index) {
+    std::uint32_t id = 0;
+    if (free_ids.empty()) {
+      id = static_cast<std::uint32_t>(invocations.size());
       invocations.emplace_back();
     } else {
-      n = free.back();
-      free.pop_back();
+      id = free_ids.back();
+      free_ids.pop_back();
     }
-    Invocation& inv = invocations[n];
-    const auto generation = inv.generation + 1, round = inv.round + 1;
-    inv = {};
-    inv.open = true, inv.generation = generation, inv.round = round, inv.proxy = p, inv.came = now;
-    inv.operation = static_cast<std::uint8_t>(pick_operation(proxies[p].demand));
-    inv.work = static_cast<float>(0.6 + 0.8 * std::uniform_real_distribution<>{}(proxies[p].demand));
-    const double value = day.operations[inv.operation].billed_value;
-    for (Tally* t : tallies(inv)) t->offered_value += value, ++t->invocations;
-    second_of(inv).first += value;
-    if (s.decision_maker == DecisionMakerKind::oracle) look_through();
-    enter(n);
-  }
-  [[nodiscard]] std::array<Tally*, 4> tallies(const Invocation& inv) {
-    if (inv.came < begin + s.warm_up) return {&uncounted, &uncounted, &uncounted, &uncounted};
-    const auto ten = static_cast<std::size_t>((inv.came - begin).seconds() / 10);
-    if (out.by_ten_seconds.size() <= ten) out.by_ten_seconds.resize(ten + 1);
-    return {&out.whole, &out.by_operation[inv.operation], &out.by_zone[proxies[inv.proxy].zone],
-            &out.by_ten_seconds[ten]};
-  }
-
-  std::pair<double, double>& second_of(const Invocation& inv) {
-    const auto second = static_cast<std::size_t>((inv.came - begin).seconds());
-    if (out.by_second.size() <= second) out.by_second.resize(second + 1);
-    return out.by_second[second];
-  }
-
-  enum class End { succeeded, late, errored, limited, no_line };
-  void done(std::uint32_t n, End end) {
-    Invocation& inv = invocations[n];
-    if (!inv.open) return;
-    const double value = day.operations[inv.operation].billed_value;
-    for (Tally* t : tallies(inv)) {
-      if (end == End::succeeded) t->value_in_time += value, ++t->succeeded;
-      t->late += end == End::late, t->errored += end == End::errored, t->rate_limited += end == End::limited,
-          t->no_line += end == End::no_line;
+    Invocation& invocation = invocations[id];
+    const auto generation = invocation.generation + 1, caller_generation = invocation.caller_generation + 1;
+    invocation = {};
+    invocation.open = true, invocation.generation = generation,
+    invocation.caller_generation = caller_generation, invocation.proxy = proxy_index,
+    invocation.started_at = now;
+    invocation.operation = static_cast<std::uint8_t>(draw_operation(proxies[proxy_index].request_rng));
+    invocation.work =
+        static_cast<float>(0.6 + 0.8 * std::uniform_real_distribution<>{}(proxies[proxy_index].request_rng));
+    const double value = day.operations[invocation.operation].billed_value;
+    for (Tally* t : tallies(invocation)) t->offered_value += value, ++t->invocations;
+    second_totals(invocation).first += value;
+    if (options.decision_maker == DecisionMakerKind::oracle) update_oracle();
+    start_caller_try(id);
+  }
+  [[nodiscard]] std::array<Tally*, 4> tallies(const Invocation& invocation) {
+    if (invocation.started_at < day_start + options.warm_up)
+      return {&uncounted, &uncounted, &uncounted, &uncounted};
+    const auto ten_seconds = static_cast<std::size_t>((invocation.started_at - day_start).seconds() / 10);
+    if (outcome.by_ten_seconds.size() <= ten_seconds) outcome.by_ten_seconds.resize(ten_seconds + 1);
+    return {&outcome.whole, &outcome.by_operation[invocation.operation],
+            &outcome.by_zone[proxies[invocation.proxy].zone], &outcome.by_ten_seconds[ten_seconds]};
+  }
+
+  std::pair<double, double>& second_totals(const Invocation& invocation) {
+    const auto second = static_cast<std::size_t>((invocation.started_at - day_start).seconds());
+    if (outcome.by_second.size() <= second) outcome.by_second.resize(second + 1);
+    return outcome.by_second[second];
+  }
+
+  enum class Result { succeeded, late, errored, rate_limited, no_line };
+  void finish_invocation(std::uint32_t id, Result end) {
+    Invocation& invocation = invocations[id];
+    if (!invocation.open) return;
+    const double value = day.operations[invocation.operation].billed_value;
+    for (Tally* t : tallies(invocation)) {
+      if (end == Result::succeeded) t->value_in_time += value, ++t->succeeded;
+      t->late += end == Result::late, t->errored += end == Result::errored,
+          t->rate_limited += end == Result::rate_limited, t->no_line += end == Result::no_line;
     }
-    if (end == End::succeeded) second_of(inv).second += value;
-    if (s.list_completions)
-      out.completions.push_back(
-          {(inv.came - begin).seconds(), (now - inv.came).seconds(), inv.operation,
-           static_cast<std::uint8_t>(end), std::max(inv.inner, inv.outer),
-           static_cast<std::uint16_t>(inv.proxy),
-           inv.ntried > 0 ? static_cast<std::uint16_t>(inv.worker) : std::uint16_t{65535}});
-    inv.open = false, ++inv.generation, ++inv.round;
-    free.push_back(n);
+    if (end == Result::succeeded) second_totals(invocation).second += value;
+    if (options.list_completions)
+      outcome.completions.push_back(
+          {(invocation.started_at - day_start).seconds(), (now - invocation.started_at).seconds(),
+           invocation.operation, static_cast<std::uint8_t>(end),
+           std::max(invocation.worker_tries, invocation.caller_tries),
+           static_cast<std::uint16_t>(invocation.proxy),
+           invocation.tried_count > 0 ? static_cast<std::uint16_t>(invocation.worker)
+                                      : std::uint16_t{65535}});
+    invocation.open = false, ++invocation.generation, ++invocation.caller_generation;
+    free_ids.push_back(id);
   }
 
   // Once for each of the caller's own tries.
-  void enter(std::uint32_t n) {
-    Invocation& inv = invocations[n];
-    Proxy& p = proxies[inv.proxy];
-    const auto& op = day.operations[inv.operation];
-    if (!p.forwarder) return with_answer(n);
-    ++inv.outer, ++inv.round, inv.inner = 0, inv.ntried = 0, inv.forwarded = now;
-    ++p.arrived[inv.operation];
-    const Span left = op.integration_timeout - (now - inv.came);
-    at(now + std::max(Span::seconds(0.001), std::min(left, op.integration_timeout * kGiveUp)),
-       What::wait_over, n, inv.round);
-    if (!admitted(p, inv.operation)) return done(n, End::limited);
-    p.meter.record_first_try(now);
-    forward(n);
-  }
-  bool admitted(Proxy& p, std::size_t op) {
-    if (p.level[op] < 1 && uniform() >= p.level[op]) return false;
-    if (p.limit[op] < 0) return true;
-    auto& [left, since] = p.tokens[op];
-    left = std::min(std::max(1.0, p.limit[op] / 2),
-                    left + p.limit[op] * (since == Instant{} ? 1.0 : (now - since).seconds()));
+  void start_caller_try(std::uint32_t id) {
+    Invocation& invocation = invocations[id];
+    Proxy& proxy = proxies[invocation.proxy];
+    const auto& operation = day.operations[invocation.operation];
+    if (!proxy.forwarder) return send_direct(id);
+    ++invocation.caller_tries, ++invocation.caller_generation,
+        invocation.worker_tries = 0, invocation.tried_count = 0, invocation.forwarded_at = now;
+    ++proxy.arrived[invocation.operation];
+    const Span remaining = operation.integration_timeout - (now - invocation.started_at);
+    schedule_at(now + std::max(Span::seconds(0.001),
+                               std::min(remaining, operation.integration_timeout * kClientTryTimeoutShare)),
+                EventType::caller_timeout, id, invocation.caller_generation);
+    if (!admit(proxy, invocation.operation)) return finish_invocation(id, Result::rate_limited);
+    proxy.retry_limiter.record_first_try(now);
+    forward_try(id);
+  }
+  bool admit(Proxy& proxy, std::size_t operation) {
+    if (proxy.admission_level[operation] < 1 && uniform() >= proxy.admission_level[operation]) return false;
+    if (proxy.rate_limit[operation] < 0) return true;
+    auto& [tokens_left, since] = proxy.token_buckets[operation];
+    tokens_left = std::min(
+        std::max(1.0, proxy.rate_limit[operation] / 2),
+        tokens_left + proxy.rate_limit[operation] * (since == Instant{} ? 1.0 : (now - since).seconds()));
     since = now;
-    if (left < 1) return false;
-    left -= 1;
+    if (tokens_left < 1) return false;
+    tokens_left -= 1;
     return true;
   }
-  std::optional<std::uint32_t> draw(const Proxy& p, const Invocation& inv) {
-    const auto& picks = s.decision_maker == DecisionMakerKind::oracle ? oracle : p.picks[inv.operation];
+  std::optional<std::uint32_t> pick_worker(const Proxy& proxy, const Invocation& invocation) {
+    const auto& picks = options.decision_maker == DecisionMakerKind::oracle
+                            ? oracle_picks
+                            : proxy.picks[invocation.operation];
     if (picks.empty()) return {};
-    const auto fits = [&](std::uint32_t w) {
-      for (std::size_t k = 0; k < inv.ntried; ++k)
-        if (inv.tried[k] == w) return false;
-      return !p.forwarder || now >= p.away[w];
+    const auto eligible = [&](std::uint32_t worker) {
+      for (std::size_t k = 0; k < invocation.tried_count; ++k)
+        if (invocation.tried[k] == worker) return false;
+      return !proxy.forwarder || now >= proxy.ejected_until[worker];
     };
-    const auto once = [&]() -> std::uint32_t {
-      const double x = uniform() * picks.back().upto;
-      return std::upper_bound(picks.begin(), picks.end(), x,
-                              [](double v, const Pick& k) { return v < k.upto; })
+    const auto draw_one = [&]() -> std::uint32_t {
+      const double point = uniform() * picks.back().cumulative_weight;
+      return std::upper_bound(picks.begin(), picks.end(), point,
+                              [](double v, const WeightedWorker& k) { return v < k.cumulative_weight; })
           ->worker;
     };
     for (int k = 0; k < 12; ++k) {
-      const auto w = once();
-      if (!fits(w)) continue;
-      if (!p.two_choice) return w;
-      const auto other = once();
-      return fits(other) && p.out[other] < p.out[w] ? other : w;
+      const auto worker = draw_one();
+      if (!eligible(worker)) continue;
+      if (!proxy.two_choice) return worker;
+      const auto other = draw_one();
+      return eligible(other) && proxy.outstanding[other] < proxy.outstanding[worker] ? other : worker;
     }
     // Few are left: by weight among them, as the stand-ins do; the first of them would be sent all of it.
-    double before = 0, fitting = 0;
-    for (const auto& pick : picks) fitting += fits(pick.worker) ? pick.upto - before : 0, before = pick.upto;
-    if (fitting <= 0) return once();
-    double x = uniform() * fitting;
+    double before = 0, eligible_weight = 0;
+    for (const auto& pick : picks)
+      eligible_weight += eligible(pick.worker) ? pick.cumulative_weight - before : 0,
+          before = pick.cumulative_weight;
+    if (eligible_weight <= 0) return draw_one();
+    double point = uniform() * eligible_weight;
     before = 0;
     for (const auto& pick : picks) {
-      const double weight = pick.upto - std::exchange(before, pick.upto);
-      if (fits(pick.worker) && (x -= weight) < 0) return pick.worker;
+      const double weight = pick.cumulative_weight - std::exchange(before, pick.cumulative_weight);
+      if (eligible(pick.worker) && (point -= weight) < 0) return pick.worker;
     }
-    return once();
+    return draw_one();
   }
 
-  void forward(std::uint32_t n) {
-    Invocation& inv = invocations[n];
-    Proxy& p = proxies[inv.proxy];
-    const auto w = draw(p, inv);
-    if (!w) {
-      bare(p, inv.operation, true);
-      return caller_heard(n, Reply::refused);
+  void forward_try(std::uint32_t id) {
+    Invocation& invocation = invocations[id];
+    Proxy& proxy = proxies[invocation.proxy];
+    const auto worker = pick_worker(proxy, invocation);
+    if (!worker) {
+      track_unserved(proxy, invocation.operation, true);
+      return handle_caller_reply(id, Reply::refused);
     }
-    bare(p, inv.operation, false);
-    const auto& op = day.operations[inv.operation];
-    send(n, *w,
-         std::max(Span::seconds(0.001), op.integration_timeout * kForwarderTime - (now - inv.forwarded)));
-  }
-  void send(std::uint32_t n, std::uint32_t w, Span patience) {
-    Invocation& inv = invocations[n];
-    Proxy& p = proxies[inv.proxy];
-    if (p.forwarder) {
-      touch(p, w, inv.operation).tries += 1;
-      ++p.out[w];
+    track_unserved(proxy, invocation.operation, false);
+    const auto& operation = day.operations[invocation.operation];
+    send_try(id, *worker,
+             std::max(Span::seconds(0.001), operation.integration_timeout * kForwarderTimeoutShare -
+                                                (now - invocation.forwarded_at)));
+  }
+  void send_try(std::uint32_t id, std::uint32_t worker, Span patience) {
+    Invocation& invocation = invocations[id];
+    Proxy& proxy = proxies[invocation.proxy];
+    if (proxy.forwarder) {
+      counts_of(proxy, worker, invocation.operation).tries += 1;
+      ++proxy.outstanding[worker];
     }
-    if (inv.ntried < inv.tried.size()) inv.tried[inv.ntried++] = static_cast<std::uint16_t>(w);
-    ++inv.inner, ++inv.generation, inv.worker = w;
-    ++out.tries;
-    out.retries += inv.inner + inv.outer > 2 || (p.forwarder && inv.inner > 1) ? 1 : 0;
-    out.cross_zone_tries += p.zone != workers[w].kind().zone ? 1 : 0;
-    at(now + patience, What::try_over, n, inv.generation);
-    if (is_cut(p.zone, workers[w].kind().zone)) return;
-    after(way_to(p.zone, workers[w].kind().zone), What::arrive, n, inv.generation);
-  }
-  [[nodiscard]] Span way_to(std::size_t a, std::size_t b) const {
-    const auto slow = slow_zones.find({a, b});
-    return between(a, b) + (slow == slow_zones.end() ? Span{} : slow->second);
-  }
-  Proxy::Met& touch(Proxy& p, std::size_t w, std::size_t op) {
-    const std::size_t key = w * day.operations.size() + op;
-    auto& m = p.met[key];
-    if (m.tries == 0 && m.errored == 0) p.touched.push_back(static_cast<std::uint32_t>(key));
+    if (invocation.tried_count < invocation.tried.size())
+      invocation.tried[invocation.tried_count++] = static_cast<std::uint16_t>(worker);
+    ++invocation.worker_tries, ++invocation.generation, invocation.worker = worker;
+    ++outcome.tries;
+    outcome.retries += invocation.worker_tries + invocation.caller_tries > 2 ||
+                               (proxy.forwarder && invocation.worker_tries > 1)
+                           ? 1
+                           : 0;
+    outcome.cross_zone_tries += proxy.zone != workers[worker].spec().zone ? 1 : 0;
+    schedule_at(now + patience, EventType::try_timeout, id, invocation.generation);
+    if (is_link_cut(proxy.zone, workers[worker].spec().zone)) return;
+    schedule_after(link_latency(proxy.zone, workers[worker].spec().zone), EventType::try_arrives, id,
+                   invocation.generation);
+  }
+  [[nodiscard]] Span link_latency(std::size_t a, std::size_t b) const {
+    const auto slow = slow_zone_links.find({a, b});
+    return zone_latency(a, b) + (slow == slow_zone_links.end() ? Span{} : slow->second);
+  }
+  Proxy::TryCounts& counts_of(Proxy& proxy, std::size_t worker, std::size_t operation) {
+    const std::size_t key = worker * day.operations.size() + operation;
+    auto& m = proxy.try_counts[key];
+    if (m.tries == 0 && m.errored == 0) proxy.changed_counts.push_back(static_cast<std::uint32_t>(key));
     return m;
   }
-  void bare(Proxy& p, std::size_t op, bool is) {
+  void track_unserved(Proxy& proxy, std::size_t operation, bool is_unserved) {
     // Of clients the group counts, as for the auditor: one that asks for nothing misses nothing.
-    auto& since = p.forwarder ? p.bare[op] : groups_bare[p.zone * day.operations.size() + op];
-    if (!is || (p.forwarder && !led(static_cast<std::uint32_t>(&p - proxies.data()))) || !warm_listed()) {
+    auto& since = proxy.forwarder ? proxy.unserved_since[operation]
+                                  : group_unserved_since[proxy.zone * day.operations.size() + operation];
+    if (!is_unserved ||
+        (proxy.forwarder && !has_leader(static_cast<std::uint32_t>(&proxy - proxies.data()))) ||
+        !has_warm_worker()) {
       since.reset();
       return;
     }
     if (!since) since = now;
-    out.longest_unserved = std::max(out.longest_unserved, (now - *since).seconds());
+    outcome.longest_unserved = std::max(outcome.longest_unserved, (now - *since).seconds());
   }
-  [[nodiscard]] bool warm_listed() {
-    for (std::size_t w = 0; w < workers.size(); ++w)
-      if (workers[w].up() && !workers[w].cold(now) && !told_draining[w]) return true;
+  [[nodiscard]] bool has_warm_worker() {
+    for (std::size_t worker = 0; worker < workers.size(); ++worker)
+      if (workers[worker].up() && !workers[worker].cold(now) && !draining_since[worker]) return true;
     return false;
   }
 
-  void arrive(std::uint32_t n) {
-    Invocation& inv = invocations[n];
-    const std::uint32_t w = inv.worker;
-    WorkerModel& worker = workers[w];
-    Proxy& p = proxies[inv.proxy];
-    const Span back = way_to(worker.kind().zone, p.zone);
-    if (!worker.up())
-      return after(back, What::answer, n, inv.generation, static_cast<std::uint32_t>(Reply::refused));
-    ++out.arrivals_by_worker[w];
-    if (p.obeys && told_draining[w] && (!p.forwarder || led(inv.proxy)))
-      out.longest_send_after_drain = std::max(
-          out.longest_send_after_drain,
-          (now - std::max(*told_draining[w], p.forwarder ? joined_at[inv.proxy] : Instant{})).seconds());
+  void deliver_try(std::uint32_t id) {
+    Invocation& invocation = invocations[id];
+    const std::uint32_t worker = invocation.worker;
+    WorkerModel& model = workers[worker];
+    Proxy& proxy = proxies[invocation.proxy];
+    const Span return_latency = link_latency(model.spec().zone, proxy.zone);
+    if (!model.up())
+      return schedule_after(return_latency, EventType::reply_arrives, id, invocation.generation,
+                            static_cast<std::uint32_t>(Reply::refused));
+    ++outcome.arrivals_by_worker[worker];
+    if (proxy.honors_lifetime && draining_since[worker] && (!proxy.forwarder || has_leader(invocation.proxy)))
+      outcome.longest_send_after_drain = std::max(
+          outcome.longest_send_after_drain,
+          (now - std::max(*draining_since[worker], proxy.forwarder ? led_since[invocation.proxy] : Instant{}))
+              .seconds());
     WorkerModel::Job job;
-    job.invocation = n, job.generation = inv.generation, job.operation = inv.operation, job.came = now;
-    job.source = static_cast<std::uint8_t>(p.forwarder ? day.zones.size() : p.zone);
-    job.work = day.operations[inv.operation].work.seconds() * inv.work;
-    if (worker.kind().connect_cost > 0) {
-      auto& used = last_used[inv.proxy * workers.size() + w];
-      if (now - used > Span::seconds(15)) job.work += worker.kind().connect_cost;
+    job.invocation = id, job.generation = invocation.generation, job.operation = invocation.operation,
+    job.arrived_at = now;
+    job.source = static_cast<std::uint8_t>(proxy.forwarder ? day.zones.size() : proxy.zone);
+    job.work = day.operations[invocation.operation].work.seconds() * invocation.work;
+    if (model.spec().connect_cost > 0) {
+      auto& used = last_connection_use[invocation.proxy * workers.size() + worker];
+      if (now - used > Span::seconds(15)) job.work += model.spec().connect_cost;
       used = now;
     }
-    began_now.clear();
-    const auto taken = worker.offer(
-        now, job, chance, [this](const WorkerModel::Job& j) { return there(j); }, began_now);
-    began();
-    switch (taken) {
-      case WorkerModel::Taken::refused:
-        return after(back, What::answer, n, inv.generation, static_cast<std::uint32_t>(Reply::refused));
-      case WorkerModel::Taken::errored:
-        return after(back, What::answer, n, inv.generation, static_cast<std::uint32_t>(Reply::errored));
-      case WorkerModel::Taken::swallowed:
+    started_now.clear();
+    const auto admission = model.submit(
+        now, job, rng, [this](const WorkerModel::Job& j) { return caller_waiting(j); }, started_now);
+    count_executions();
+    switch (admission) {
+      case WorkerModel::Admission::refused:
+        return schedule_after(return_latency, EventType::reply_arrives, id, invocation.generation,
+                              static_cast<std::uint32_t>(Reply::refused));
+      case WorkerModel::Admission::errored:
+        return schedule_after(return_latency, EventType::reply_arrives, id, invocation.generation,
+                              static_cast<std::uint32_t>(Reply::errored));
+      case WorkerModel::Admission::dropped:
         return;
-      case WorkerModel::Taken::taken:
+      case WorkerModel::Admission::accepted:
         break;
     }
-    if (worker.fallen()) {
-      ++out.fell;
-      return crash(w);
+    if (model.collapsed()) {
+      ++outcome.collapses;
+      return crash_worker(worker);
     }
-    schedule(w);
+    schedule_finish(worker);
   }
   // The rules bind while a controller is in charge of a forwarder: not one that stands still, nor one whose
   // lease is over. Their time runs from when one was again.
-  bool led(std::uint32_t f) {
-    for (auto& h : hosts)
-      if (h.up && !h.paused && h.streams[f].up &&
-          (!h.cluster ||
-           h.cluster->held_term(h.part->shard_of(proxy_id(h, f), h.core->settings()), local(h)))) {
-        if (auto& since = proxies[f].unled_since; since)
-          out.leaderless_times.push_back((now - *since).seconds()), since.reset();
-        proxies[f].was_led = true;
+  bool has_leader(std::uint32_t forwarder) {
+    for (auto& process : processes)
+      if (process.up && !process.paused && process.streams[forwarder].up &&
+          (!process.cluster ||
+           process.cluster->held_term(
+               process.cluster_adapter->shard_of(proxy_id(process, forwarder), process.core->settings()),
+               local_time(process)))) {
+        if (auto& since = proxies[forwarder].leaderless_since; since)
+          outcome.leaderless_times.push_back((now - *since).seconds()), since.reset();
+        proxies[forwarder].had_leader = true;
         return true;
       }
-    joined_at[f] = now;
-    if (proxies[f].was_led && !proxies[f].unled_since) proxies[f].unled_since = now;
+    led_since[forwarder] = now;
+    if (proxies[forwarder].had_leader && !proxies[forwarder].leaderless_since)
+      proxies[forwarder].leaderless_since = now;
     return false;
   }
-  [[nodiscard]] bool there(const WorkerModel::Job& job) const {
-    const Invocation& inv = invocations[job.invocation];
-    return inv.open && inv.generation == job.generation;
+  [[nodiscard]] bool caller_waiting(const WorkerModel::Job& job) const {
+    const Invocation& invocation = invocations[job.invocation];
+    return invocation.open && invocation.generation == job.generation;
   }
-  void began() {
-    for (const auto& job : began_now) {
-      if (!there(job)) continue;
-      Invocation& inv = invocations[job.invocation];
-      if (++inv.begun > 1 && day.operations[inv.operation].effect == "side-effecting")
-        ++out.duplicate_effects;
+  void count_executions() {
+    for (const auto& job : started_now) {
+      if (!caller_waiting(job)) continue;
+      Invocation& invocation = invocations[job.invocation];
+      if (++invocation.executions > 1 && day.operations[invocation.operation].effect == "side-effecting")
+        ++outcome.duplicate_effects;
     }
   }
-  void schedule(std::uint32_t w) {
-    if (const auto next = workers[w].next_finish(now)) at(*next, What::finish, w, ++finishes[w]);
+  void schedule_finish(std::uint32_t worker) {
+    if (const auto next = workers[worker].next_finish(now))
+      schedule_at(*next, EventType::job_finish, worker, ++finish_generation[worker]);
   }
-  void finish(std::uint32_t w) {
-    finished_now.clear(), began_now.clear();
-    workers[w].finish(
-        now, [this](const WorkerModel::Job& j) { return there(j); }, finished_now, began_now);
-    began();
+  void finish_jobs(std::uint32_t worker) {
+    finished_now.clear(), started_now.clear();
+    workers[worker].finish(
+        now, [this](const WorkerModel::Job& j) { return caller_waiting(j); }, finished_now, started_now);
+    count_executions();
     for (const auto& job : finished_now)
-      if (there(job))
-        after(way_to(workers[w].kind().zone, proxies[invocations[job.invocation].proxy].zone), What::answer,
-              job.invocation, job.generation, static_cast<std::uint32_t>(Reply::well));
-    schedule(w);
+      if (caller_waiting(job))
+        schedule_after(
+            link_latency(workers[worker].spec().zone, proxies[invocations[job.invocation].proxy].zone),
+            EventType::reply_arrives, job.invocation, job.generation,
+            static_cast<std::uint32_t>(Reply::succeeded));
+    schedule_finish(worker);
   }
 
   // Of one try.
-  void answered(std::uint32_t n, Reply reply) {
-    Invocation& inv = invocations[n];
-    Proxy& p = proxies[inv.proxy];
-    const std::uint32_t w = inv.worker;
-    ++inv.generation;  // whatever else is heard of this try is too late
-    const bool well = reply == Reply::well;
-    if (p.forwarder) {
-      --p.out[w];
-      auto& m = touch(p, w, inv.operation);
-      if (well) {
-        m.waited += (now - inv.forwarded).seconds();
-        p.in_a_row[w] = 0;
+  void handle_reply(std::uint32_t id, Reply reply) {
+    Invocation& invocation = invocations[id];
+    Proxy& proxy = proxies[invocation.proxy];
+    const std::uint32_t worker = invocation.worker;
+    ++invocation.generation;  // whatever else is heard of this try is too late
+    const bool succeeded = reply == Reply::succeeded;
+    if (proxy.forwarder) {
+      --proxy.outstanding[worker];
+      auto& m = counts_of(proxy, worker, invocation.operation);
+      if (succeeded) {
+        m.latency_sum += (now - invocation.forwarded_at).seconds();
+        proxy.consecutive_failures[worker] = 0;
       } else {
         ++m.errored;
-        if (++p.in_a_row[w] >= kFailures) p.in_a_row[w] = 0, p.away[w] = now + kAway;
+        if (++proxy.consecutive_failures[worker] >= kFailuresToEject)
+          proxy.consecutive_failures[worker] = 0, proxy.ejected_until[worker] = now + kEjectionTime;
       }
     }
-    if (well) {
-      auto& sample = out.latency[workers[w].name()];
-      if (sample.size() < kLatencies) sample.push_back((now - inv.came).seconds());
+    if (succeeded) {
+      auto& sample = outcome.latency[workers[worker].name()];
+      if (sample.size() < kLatencySamplesPerWorker) sample.push_back((now - invocation.started_at).seconds());
     }
-    if (!p.forwarder || well) return caller_heard(n, reply);
-    const auto& op = day.operations[inv.operation];
-    const int how = p.further[inv.operation];
-    const int most = how == 0 ? 1 : how == 3 ? 3 : 2;
-    const bool proof = reply == Reply::refused;
-    const bool may = how > 0 && inv.inner < most && (proof || (how >= 2 && op.may_repeat()));
-    if (may && (now - inv.forwarded) < op.integration_timeout * kFurther &&
-        p.meter.allow_retry(now, p.retries)) {
-      ++p.again;
-      return forward(n);
+    if (!proxy.forwarder || succeeded) return handle_caller_reply(id, reply);
+    const auto& operation = day.operations[invocation.operation];
+    const int mode = proxy.retry_mode[invocation.operation];
+    const int max_tries = mode == 0 ? 1 : mode == 3 ? 3 : 2;
+    const bool not_executed = reply == Reply::refused;
+    const bool may_retry = mode > 0 && invocation.worker_tries < max_tries &&
+                           (not_executed || (mode >= 2 && operation.may_repeat()));
+    if (may_retry && (now - invocation.forwarded_at) < operation.integration_timeout * kRetryCutoffShare &&
+        proxy.retry_limiter.allow_retry(now, proxy.retry_budget)) {
+      ++proxy.retries_since_report;
+      return forward_try(id);
     }
-    caller_heard(n, reply);
+    handle_caller_reply(id, reply);
   }
   // What the caller makes of an answer, its forwarder's or a worker's own.
-  void caller_heard(std::uint32_t n, Reply reply) {
-    Invocation& inv = invocations[n];
-    const auto& op = day.operations[inv.operation];
-    const Span took = now - inv.came;
-    if (reply == Reply::well) return done(n, took <= op.latency_objective ? End::succeeded : End::late);
-    const bool may = reply == Reply::refused || op.may_repeat() || day.unsafe.repeat_all;
-    const int tries = proxies[inv.proxy].forwarder ? inv.outer : inv.inner;
-    if (may && tries < 2 && took < op.integration_timeout * 0.9) return enter(n);
-    done(n, End::errored);
+  void handle_caller_reply(std::uint32_t id, Reply reply) {
+    Invocation& invocation = invocations[id];
+    const auto& operation = day.operations[invocation.operation];
+    const Span elapsed = now - invocation.started_at;
+    if (reply == Reply::succeeded)
+      return finish_invocation(id, elapsed <= operation.latency_objective ? Result::succeeded : Result::late);
+    const bool may_retry = reply == Reply::refused || operation.may_repeat() || day.unsafe.repeat_all;
+    const int tries = proxies[invocation.proxy].forwarder ? invocation.caller_tries : invocation.worker_tries;
+    if (may_retry && tries < 2 && elapsed < operation.integration_timeout * 0.9) return start_caller_try(id);
+    finish_invocation(id, Result::errored);
   }
 
   // A client that looks up for itself.
-  void with_answer(std::uint32_t n) {
-    Invocation& inv = invocations[n];
-    Proxy& p = proxies[inv.proxy];
-    if (now >= p.until[inv.operation]) {
-      p.waiting[inv.operation].push_back(n);
-      if (p.waiting[inv.operation].size() > 1) return;
+  void send_direct(std::uint32_t id) {
+    Invocation& invocation = invocations[id];
+    Proxy& proxy = proxies[invocation.proxy];
+    if (now >= proxy.answer_expires[invocation.operation]) {
+      proxy.waiting_lookups[invocation.operation].push_back(id);
+      if (proxy.waiting_lookups[invocation.operation].size() > 1) return;
       // Servers in its own order; one that is down costs its patience.
-      Span wait = s.latency * 2;
-      for (std::size_t k = 0; k < hosts.size(); ++k) {
-        const Host& h = hosts[(p.first_server + k) % hosts.size()];
-        if (h.up && !h.paused && h.published) break;
-        wait = wait + kPatience;
+      Span wait = options.latency * 2;
+      for (std::size_t k = 0; k < processes.size(); ++k) {
+        const Process& process = processes[(proxy.first_dns_server + k) % processes.size()];
+        if (process.up && !process.paused && process.published) break;
+        wait = wait + kDnsTimeout;
       }
-      return after(wait, What::enter, inv.proxy, inv.operation);
+      return schedule_after(wait, EventType::lookup_done, invocation.proxy, invocation.operation);
     }
-    use_answer(n);
+    send_resolved(id);
   }
-  void look_up(std::uint32_t proxy, std::uint32_t op) {
-    Proxy& p = proxies[proxy];
-    const auto waiting = std::exchange(p.waiting[op], {});
-    p.picks[op].clear();
+  void resolve(std::uint32_t proxy_index, std::uint32_t operation) {
+    Proxy& proxy = proxies[proxy_index];
+    const auto waiting_lookups = std::exchange(proxy.waiting_lookups[operation], {});
+    proxy.picks[operation].clear();
     Span lifetime;
-    for (std::size_t k = 0; k < hosts.size(); ++k) {
-      Host& h = hosts[(p.first_server + k) % hosts.size()];
-      if (!h.up || h.paused || !h.published || p.zone >= h.published->views.size()) continue;
-      give(h, coordinator::GroupLookup{ProxyId{static_cast<std::uint16_t>(p.zone)}});
-      const auto& view = *h.published->views[p.zone][op];
+    for (std::size_t k = 0; k < processes.size(); ++k) {
+      Process& process = processes[(proxy.first_dns_server + k) % processes.size()];
+      if (!process.up || process.paused || !process.published ||
+          proxy.zone >= process.published->views.size())
+        continue;
+      add_input(process, coordinator::GroupLookup{ProxyId{static_cast<std::uint16_t>(proxy.zone)}});
+      const auto& view = *process.published->views[proxy.zone][operation];
       if (day.levels && view.level.level < 1 && uniform() >= view.level.level) {
-        for (const auto n : waiting) done(n, End::limited);
+        for (const auto id : waiting_lookups) finish_invocation(id, Result::rate_limited);
         return;
       }
-      const auto& settings = h.core->settings();
+      const auto& settings = process.core->settings();
       std::vector<coordinator::Line> open;
       for (const auto& line : view.lines)
-        if (const auto it = h.published->directory->find(line.backend);
-            it != h.published->directory->end() && it->second.accepts_new_work)
+        if (const auto it = process.published->directory->find(line.backend);
+            it != process.published->directory->end() && it->second.accepts_new_work)
           open.push_back(line);
-      double upto = 0;
-      const auto add = [&](std::size_t place_of, double weight) {
-        const auto w = place.find(h.published->directory->at(open[place_of].backend).name);
-        if (w != place.end()) p.picks[op].push_back({w->second, upto += weight});
+      double cumulative_weight = 0;
+      const auto add = [&](std::size_t open_index, double weight) {
+        const auto worker =
+            worker_by_name.find(process.published->directory->at(open[open_index].backend).name);
+        if (worker != worker_by_name.end())
+          proxy.picks[operation].push_back({worker->second, cumulative_weight += weight});
       };
-      if (p.by_address) {
-        for (const auto k2 : coordinator::sample_uniform(
-                 open, static_cast<std::size_t>(settings.addresses_most), p.phases[op].next()))
+      if (proxy.by_address) {
+        for (const auto k2 :
+             coordinator::sample_uniform(open, static_cast<std::size_t>(settings.addresses_most),
+                                         proxy.sampling_phases[operation].next()))
           add(k2, 1);
       } else {
         const auto drawn = coordinator::sample_tiered(open, static_cast<std::size_t>(settings.lines_most),
-                                                      p.phases[op].next());
+                                                      proxy.sampling_phases[operation].next());
         int first = INT_MAX;
         for (const auto& d : drawn) first = std::min(first, open[d.index].tier);
         // With two tries a client gets no further than its first tier, but for one that has no line of it.
         for (const auto& d : drawn)
           if (open[d.index].tier == first) add(d.index, d.weight);
       }
-      lifetime = h.published->lifetime;
+      lifetime = process.published->lifetime;
       break;
     }
-    bare(p, op, p.picks[op].empty());
-    p.until[op] = now + lifetime * (p.obeys ? 1 : kTooLong);
-    for (const auto n : waiting)
-      if (invocations[n].open) use_answer(n);
-  }
-  void use_answer(std::uint32_t n) {
-    Invocation& inv = invocations[n];
-    const auto w = draw(proxies[inv.proxy], inv);
-    if (!w) return done(n, End::no_line);
-    const auto& op = day.operations[inv.operation];
-    const Span left = op.integration_timeout - (now - inv.came);
-    send(n, *w, std::max(Span::seconds(0.001), std::min(left, op.integration_timeout * kGiveUp)));
+    track_unserved(proxy, operation, proxy.picks[operation].empty());
+    proxy.answer_expires[operation] =
+        now + lifetime * (proxy.honors_lifetime ? 1 : kDisobedientLifetimeFactor);
+    for (const auto id : waiting_lookups)
+      if (invocations[id].open) send_resolved(id);
+  }
+  void send_resolved(std::uint32_t id) {
+    Invocation& invocation = invocations[id];
+    const auto worker = pick_worker(proxies[invocation.proxy], invocation);
+    if (!worker) return finish_invocation(id, Result::no_line);
+    const auto& operation = day.operations[invocation.operation];
+    const Span remaining = operation.integration_timeout - (now - invocation.started_at);
+    send_try(id, *worker,
+             std::max(Span::seconds(0.001),
+                      std::min(remaining, operation.integration_timeout * kClientTryTimeoutShare)));
   }
 
   // ---- What goes wrong -----------------------------------------------------------------------------------
 
-  void crash(std::uint32_t w) {
-    for (const auto& job : workers[w].crash(now))
-      if (there(job))
-        after(s.latency, What::answer, job.invocation, job.generation,
-              static_cast<std::uint32_t>(Reply::broken));
-    ++finishes[w];
-    out.worst_cold_overload = std::max(out.worst_cold_overload, workers[w].worst_brought());
+  void crash_worker(std::uint32_t worker) {
+    for (const auto& job : workers[worker].crash(now))
+      if (caller_waiting(job))
+        schedule_after(options.latency, EventType::reply_arrives, job.invocation, job.generation,
+                       static_cast<std::uint32_t>(Reply::no_reply));
+    ++finish_generation[worker];
+    outcome.worst_cold_overload = std::max(outcome.worst_cold_overload, workers[worker].peak_cold_load());
   }
-  void tell_roster() {
-    if (stale) return;
-    for (auto& h : hosts) after(kRosterLate * uniform(), What::roster, index(h), h.life);
+  void announce_roster() {
+    if (roster_frozen) return;
+    for (auto& process : processes)
+      schedule_after(kMaxRosterDelay * uniform(), EventType::roster_update, index(process),
+                     process.incarnation);
   }
 
-  void strike(std::uint32_t k) {
-    const Trouble& t = day.troubles[k];
-    struck[k].clear();
+  void start_fault(std::uint32_t fault_index) {
+    const Trouble& fault = day.troubles[fault_index];
+    affected[fault_index].clear();
     using enum TroubleKind;
-    switch (t.kind) {
+    switch (fault.kind) {
       case stale_list:
-        stale = true;
+        roster_frozen = true;
         break;
       case cut_link:
       case slow_link:
         for (std::size_t z = 0; z < day.zones.size(); ++z)
-          if (z != zone_of(t.zone) && (t.to.empty() || zone_of(t.to) == z))
-            for (const auto& pair : {std::pair{zone_of(t.zone), z}, std::pair{z, zone_of(t.zone)}}) {
-              if (t.one_way && pair.first != zone_of(t.zone)) continue;
-              if (t.kind == cut_link) {
-                cut_zones.insert(pair);
+          if (z != zone_index(fault.zone) && (fault.to.empty() || zone_index(fault.to) == z))
+            for (const auto& pair :
+                 {std::pair{zone_index(fault.zone), z}, std::pair{z, zone_index(fault.zone)}}) {
+              if (fault.one_way && pair.first != zone_index(fault.zone)) continue;
+              if (fault.kind == cut_link) {
+                cut_zone_links.insert(pair);
               } else {
-                slow_zones[pair] = Span::seconds(t.size);
+                slow_zone_links[pair] = Span::seconds(fault.size);
               }
             }
         break;
       default:
         break;
     }
-    if (t.kind >= forwarder_restart && t.kind <= streams) {
+    if (fault.kind >= forwarder_restart && fault.kind <= streams) {
       std::vector<std::size_t> in_zone;
-      for (std::size_t f = 0; f < fronts.size(); ++f)
-        if (t.zone.empty() || fronts[f].zone == t.zone) in_zone.push_back(f);
-      const std::size_t n =
-          t.count > 0 ? static_cast<std::size_t>(t.count)
-                      : static_cast<std::size_t>(t.part * static_cast<double>(in_zone.size()) + 0.5);
-      for (std::size_t i = 0; i < std::min(n, in_zone.size()); ++i) {
-        const std::size_t f = in_zone[i];
-        if (t.kind == forwarder_restart) configure(proxies[f]), obeyed.erase(static_cast<std::uint32_t>(f));
-        if (t.kind == forwarder_restart || t.kind == streams) {
-          for (auto& h : hosts)
-            if (h.up && h.streams[f].up) {
-              const auto term = h.streams[f].term;
-              close_stream(h, f);
-              open_stream(h, f, term, false);
+      for (std::size_t forwarder = 0; forwarder < forwarder_places.size(); ++forwarder)
+        if (fault.zone.empty() || forwarder_places[forwarder].zone == fault.zone)
+          in_zone.push_back(forwarder);
+      const std::size_t count =
+          fault.count > 0 ? static_cast<std::size_t>(fault.count)
+                          : static_cast<std::size_t>(fault.part * static_cast<double>(in_zone.size()) + 0.5);
+      for (std::size_t position = 0; position < std::min(count, in_zone.size()); ++position) {
+        const std::size_t forwarder = in_zone[position];
+        if (fault.kind == forwarder_restart)
+          load_initial_table(proxies[forwarder]),
+              highest_applied_term.erase(static_cast<std::uint32_t>(forwarder));
+        if (fault.kind == forwarder_restart || fault.kind == streams) {
+          for (auto& process : processes)
+            if (process.up && process.streams[forwarder].up) {
+              const auto term = process.streams[forwarder].term;
+              close_stream(process, forwarder);
+              open_stream(process, forwarder, term, false);
             }
         } else {
-          proxies[f].fault = t.kind, struck[k].push_back(static_cast<std::uint32_t>(f));
+          proxies[forwarder].fault = fault.kind,
+          affected[fault_index].push_back(static_cast<std::uint32_t>(forwarder));
         }
       }
-    } else if (t.kind < forwarder_restart || t.kind == late_reports || t.kind == ageing ||
-               t.kind == false_reports) {
+    } else if (fault.kind < forwarder_restart || fault.kind == late_reports || fault.kind == ageing ||
+               fault.kind == false_reports) {
       std::vector<std::uint32_t> in_zone;
-      for (std::uint32_t w = 0; w < workers.size(); ++w)
-        if ((t.zone.empty() || day.zones[workers[w].kind().zone] == t.zone) && workers[w].well())
-          in_zone.push_back(w);
-      std::size_t all = 0;
-      for (const auto& w : workers) all += t.zone.empty() || day.zones[w.kind().zone] == t.zone ? 1 : 0;
-      const std::size_t n = t.count > 0 ? static_cast<std::size_t>(t.count)
-                                        : static_cast<std::size_t>(t.part * static_cast<double>(all) + 0.5);
-      for (const auto w : in_zone) {
-        if (struck[k].size() >= (t.kind == errors && t.count == 0 ? all : n)) break;
-        struck[k].push_back(w);
+      for (std::uint32_t worker = 0; worker < workers.size(); ++worker)
+        if ((fault.zone.empty() || day.zones[workers[worker].spec().zone] == fault.zone) &&
+            workers[worker].healthy())
+          in_zone.push_back(worker);
+      std::size_t zone_workers = 0;
+      for (const auto& worker : workers)
+        zone_workers += fault.zone.empty() || day.zones[worker.spec().zone] == fault.zone ? 1 : 0;
+      const std::size_t count =
+          fault.count > 0 ? static_cast<std::size_t>(fault.count)
+                          : static_cast<std::size_t>(fault.part * static_cast<double>(zone_workers) + 0.5);
+      for (const auto worker : in_zone) {
+        if (affected[fault_index].size() >= (fault.kind == errors && fault.count == 0 ? zone_workers : count))
+          break;
+        affected[fault_index].push_back(worker);
       }
-      for (const auto w : struck[k]) {
-        if (t.kind == TroubleKind::crash) {
-          this->crash(w);
-        } else if (t.kind == late_reports) {
-          late_load[w] = Span::seconds(t.size);
-        } else if (t.kind == false_reports) {
-          workers[w].lie(t.size);
-        } else if (t.kind == ageing) {
-          workers[w].age(1 / std::max(1e-3, t.size));
+      for (const auto worker : affected[fault_index]) {
+        if (fault.kind == TroubleKind::crash) {
+          this->crash_worker(worker);
+        } else if (fault.kind == late_reports) {
+          load_report_delay[worker] = Span::seconds(fault.size);
+        } else if (fault.kind == false_reports) {
+          workers[worker].set_reported_util_factor(fault.size);
+        } else if (fault.kind == ageing) {
+          workers[worker].scale_speed(1 / std::max(1e-3, fault.size));
         } else {
-          if (t.kind != drain || !day.unsafe.drain_untold)
-            workers[w].trouble(now, t.kind, t.kind == errors ? t.part : t.size);
-          if (t.kind == drain) draining(w, true);
-          ++finishes[w];
-          schedule(w);
+          if (fault.kind != drain || !day.unsafe.drain_untold)
+            workers[worker].inject_fault(now, fault.kind, fault.kind == errors ? fault.part : fault.size);
+          if (fault.kind == drain) set_draining(worker, true);
+          ++finish_generation[worker];
+          schedule_finish(worker);
         }
       }
-      if (t.kind == drain) tell_roster();
+      if (fault.kind == drain) announce_roster();
     }
-    after(t.lasts, What::trouble_over, k);
+    schedule_after(fault.lasts, EventType::fault_end, fault_index);
   }
-  void draining(std::uint32_t w, bool on) {
-    roster[w].draining = on && !day.unsafe.drain_untold;
-    told_draining[w] = on ? std::optional{now} : std::nullopt;
+  void set_draining(std::uint32_t worker, bool drain) {
+    roster[worker].draining = drain && !day.unsafe.drain_untold;
+    draining_since[worker] = drain ? std::optional{now} : std::nullopt;
   }
-  void over(std::uint32_t k) {
-    const Trouble& t = day.troubles[k];
+  void end_fault(std::uint32_t fault_index) {
+    const Trouble& fault = day.troubles[fault_index];
     using enum TroubleKind;
-    if (t.kind == stale_list) stale = false, tell_roster();
-    if (t.kind == cut_link) cut_zones.clear();
-    if (t.kind == slow_link) slow_zones.clear();
-    for (const auto w : struck[k]) {
-      if (t.kind >= forwarder_restart && t.kind <= streams) {
-        proxies[w].fault.reset();
-      } else if (t.kind == TroubleKind::crash) {
-        workers[w].start(now, true);
-      } else if (t.kind == late_reports) {
-        late_load[w] = {};
-      } else if (t.kind == false_reports) {
-        workers[w].lie(1);
-      } else if (t.kind == ageing) {
-        workers[w].age(std::max(1e-3, t.size));
+    if (fault.kind == stale_list) roster_frozen = false, announce_roster();
+    if (fault.kind == cut_link) cut_zone_links.clear();
+    if (fault.kind == slow_link) slow_zone_links.clear();
+    for (const auto worker : affected[fault_index]) {
+      if (fault.kind >= forwarder_restart && fault.kind <= streams) {
+        proxies[worker].fault.reset();
+      } else if (fault.kind == TroubleKind::crash) {
+        workers[worker].start(now, true);
+      } else if (fault.kind == late_reports) {
+        load_report_delay[worker] = {};
+      } else if (fault.kind == false_reports) {
+        workers[worker].set_reported_util_factor(1);
+      } else if (fault.kind == ageing) {
+        workers[worker].scale_speed(std::max(1e-3, fault.size));
       } else {
-        if (t.kind == drain) draining(w, false);
-        for (const auto& job : workers[w].recover(now))
-          if (there(job))
-            after(s.latency, What::answer, job.invocation, job.generation,
-                  static_cast<std::uint32_t>(Reply::broken));
-        ++finishes[w];
-        schedule(w);
+        if (fault.kind == drain) set_draining(worker, false);
+        for (const auto& job : workers[worker].recover(now))
+          if (caller_waiting(job))
+            schedule_after(options.latency, EventType::reply_arrives, job.invocation, job.generation,
+                           static_cast<std::uint32_t>(Reply::no_reply));
+        ++finish_generation[worker];
+        schedule_finish(worker);
       }
     }
-    if (t.kind == drain) tell_roster();
+    if (fault.kind == drain) announce_roster();
   }
 
   // ---- The day -------------------------------------------------------------------------------------------
 
-  void watch() {
+  void check_rules() {
     if (day.shared) {
       std::map<std::size_t, int> leaders;
-      for (auto& h : hosts) {
-        if (!h.up || fronts.empty()) continue;
-        for (std::size_t k = 0; k < h.cluster->shards(); ++k)
+      for (auto& process : processes) {
+        if (!process.up || forwarder_places.empty()) continue;
+        for (std::size_t k = 0; k < process.cluster->shards(); ++k)
           leaders[k] +=
-              h.cluster->held_term(cluster::ShardId{static_cast<std::uint16_t>(k)}, local(h)) ? 1 : 0;
+              process.cluster->held_term(cluster::ShardId{static_cast<std::uint16_t>(k)}, local_time(process))
+                  ? 1
+                  : 0;
       }
-      for (const auto& [shard, n] : leaders) out.double_leaders += n > 1 ? 1 : 0;
+      for (const auto& [shard, n] : leaders) outcome.double_leaders += n > 1 ? 1 : 0;
     }
-    for (std::size_t f = 0; f < fronts.size(); ++f) static_cast<void>(led(static_cast<std::uint32_t>(f)));
-    for (std::size_t f = 0; f < fronts.size(); ++f)
+    for (std::size_t forwarder = 0; forwarder < forwarder_places.size(); ++forwarder)
+      static_cast<void>(has_leader(static_cast<std::uint32_t>(forwarder)));
+    for (std::size_t forwarder = 0; forwarder < forwarder_places.size(); ++forwarder)
       for (std::size_t k = 0; k < day.operations.size(); ++k)
-        bare(proxies[f], k, proxies[f].picks[k].empty());
-    if (now < begin + day.length) after(Span::seconds(0.02), What::watch);
-  }
-  void second() {
-    Outcome::SecondSample m;
-    m.at = (now - begin).seconds();
-    m.weight_by_zone.assign(day.zones.size(), 0), m.tries_by_zone.assign(day.zones.size(), 0);
-    for (const auto& h : hosts)
-      if (h.up) {
-        for (const auto& b : h.core->backends()) m.weight_by_zone[zone_of(b.zone)] += b.weight;
+        track_unserved(proxies[forwarder], k, proxies[forwarder].picks[k].empty());
+    if (now < day_start + day.length) schedule_after(Span::seconds(0.02), EventType::rule_check);
+  }
+  void take_sample() {
+    Outcome::SecondSample sample;
+    sample.at = (now - day_start).seconds();
+    sample.weight_by_zone.assign(day.zones.size(), 0), sample.tries_by_zone.assign(day.zones.size(), 0);
+    for (const auto& process : processes)
+      if (process.up) {
+        for (const auto& backend : process.core->backends())
+          sample.weight_by_zone[zone_index(backend.zone)] += backend.weight;
         break;
       }
-    last_taken.resize(workers.size());
-    for (std::size_t w = 0; w < workers.size(); ++w) {
-      m.tries_by_zone[workers[w].kind().zone] +=
-          static_cast<double>(out.arrivals_by_worker[w] - last_taken[w]);
-      last_taken[w] = out.arrivals_by_worker[w];
-      out.worst_cold_overload = std::max(out.worst_cold_overload, workers[w].worst_brought());
+    last_arrivals.resize(workers.size());
+    for (std::size_t worker = 0; worker < workers.size(); ++worker) {
+      sample.tries_by_zone[workers[worker].spec().zone] +=
+          static_cast<double>(outcome.arrivals_by_worker[worker] - last_arrivals[worker]);
+      last_arrivals[worker] = outcome.arrivals_by_worker[worker];
+      outcome.worst_cold_overload = std::max(outcome.worst_cold_overload, workers[worker].peak_cold_load());
     }
-    out.samples.push_back(std::move(m));
-    follow_load();
-    after(Span::seconds(1), What::second);
+    outcome.samples.push_back(std::move(sample));
+    track_moved_load();
+    schedule_after(Span::seconds(1), EventType::second_tick);
   }
   // What of all work forwarders' tables moved from zone to zone since the last second.
-  void follow_load() {
-    if (now < begin) return;
+  void track_moved_load() {
+    if (now < day_start) return;
     const std::size_t zones = day.zones.size();
-    std::vector<double> parts(fronts.size() * zones, 0);
-    double all = 0, moved = 0;
-    for (std::size_t f = 0; f < fronts.size(); ++f) {
-      const auto& picks = proxies[f].picks.front();
+    std::vector<double> new_shares(forwarder_places.size() * zones, 0);
+    double total_rate = 0, moved_rate = 0;
+    for (std::size_t forwarder = 0; forwarder < forwarder_places.size(); ++forwarder) {
+      const auto& picks = proxies[forwarder].picks.front();
       double before = 0;
       for (const auto& pick : picks) {
-        parts[f * zones + workers[pick.worker].kind().zone] += (pick.upto - before) / picks.back().upto;
-        before = pick.upto;
+        new_shares[forwarder * zones + workers[pick.worker].spec().zone] +=
+            (pick.cumulative_weight - before) / picks.back().cumulative_weight;
+        before = pick.cumulative_weight;
       }
-      all += proxies[f].rate;
-      double differ = 0;
-      if (!zone_parts.empty())
+      total_rate += proxies[forwarder].rate;
+      double difference = 0;
+      if (!zone_shares.empty())
         for (std::size_t z = 0; z < zones; ++z)
-          differ += std::abs(parts[f * zones + z] - zone_parts[f * zones + z]) / 2;
-      moved += differ * proxies[f].rate;
+          difference += std::abs(new_shares[forwarder * zones + z] - zone_shares[forwarder * zones + z]) / 2;
+      moved_rate += difference * proxies[forwarder].rate;
     }
-    if (all > 0) out.moved_load += moved / all;
-    zone_parts = std::move(parts);
+    if (total_rate > 0) outcome.moved_load += moved_rate / total_rate;
+    zone_shares = std::move(new_shares);
   }
-  void churn() {
-    if (now > begin + day.length - day.settle) return;
+  void churn_weights() {
+    if (now > day_start + day.length - day.settle) return;
     for (std::size_t k = 0; k < roster.size(); ++k)
-      roster[k].weight = usual[k].weight * (0.6 + 0.4 * uniform());
-    tell_roster();
-    after(day.churn, What::churn);
-  }
-
-  Host* host_of(const Event& e) {
-    switch (e.what) {
-      case What::poll:
-      case What::health_again:
-      case What::health_failed:
-      case What::step:
-      case What::wake:
-      case What::report:
-      case What::stream:
-      case What::batch_done:
-      case What::message:
-      case What::cluster_wake:
-      case What::tell:
-      case What::roster:
-      case What::write_down:
-        return &hosts[e.a];
+      roster[k].weight = configured_roster[k].weight * (0.6 + 0.4 * uniform());
+    announce_roster();
+    schedule_after(day.churn, EventType::weight_churn);
+  }
+
+  Process* process_of(const Event& e) {
+    switch (e.type) {
+      case EventType::load_poll:
+      case EventType::health_retry:
+      case EventType::health_timeout:
+      case EventType::core_step:
+      case EventType::core_wakeup:
+      case EventType::report_due:
+      case EventType::stream_open:
+      case EventType::batch_acknowledged:
+      case EventType::message_arrives:
+      case EventType::cluster_tick:
+      case EventType::fact_exchange:
+      case EventType::roster_update:
+      case EventType::store_write:
+        return &processes[e.target];
       default:
         return nullptr;
     }
   }
 
-  void take(const Event& e) {
-    Host* h = host_of(e);
-    if (h != nullptr && (!h->up || h->paused)) {
-      if (e.what == What::message && !h->up) messages.erase(e.b);
-      if (h->up) h->missed.push_back(e);
+  void dispatch(const Event& e) {
+    Process* process = process_of(e);
+    if (process != nullptr && (!process->up || process->paused)) {
+      if (e.type == EventType::message_arrives && !process->up) messages.erase(e.detail);
+      if (process->up) process->deferred_events.push_back(e);
       return;
     }
-    switch (e.what) {
-      case What::ask:
-        if (e.b != paces || now > begin + day.length - day.settle) return;
-        if (now >= begin) ask(e.a);
-        return next_ask(e.a);
-      case What::enter:
-        return look_up(e.a, e.b);
-      case What::arrive:
-        if (invocations[e.a].open && invocations[e.a].generation == e.b) arrive(e.a);
+    switch (e.type) {
+      case EventType::request_due:
+        if (e.detail != rate_generation || now > day_start + day.length - day.settle) return;
+        if (now >= day_start) start_invocation(e.target);
+        return schedule_request(e.target);
+      case EventType::lookup_done:
+        return resolve(e.target, e.detail);
+      case EventType::try_arrives:
+        if (invocations[e.target].open && invocations[e.target].generation == e.detail) deliver_try(e.target);
         return;
-      case What::answer:
-        if (invocations[e.a].open && invocations[e.a].generation == e.b)
-          answered(e.a, static_cast<Reply>(e.c));
+      case EventType::reply_arrives:
+        if (invocations[e.target].open && invocations[e.target].generation == e.detail)
+          handle_reply(e.target, static_cast<Reply>(e.guard));
         return;
-      case What::try_over:
-        if (invocations[e.a].open && invocations[e.a].generation == e.b) answered(e.a, Reply::broken);
+      case EventType::try_timeout:
+        if (invocations[e.target].open && invocations[e.target].generation == e.detail)
+          handle_reply(e.target, Reply::no_reply);
         return;
-      case What::wait_over:
-        if (invocations[e.a].open && invocations[e.a].round == e.b) {
+      case EventType::caller_timeout:
+        if (invocations[e.target].open && invocations[e.target].caller_generation == e.detail) {
           // The caller gives up on its forwarder, which is left with the try.
-          Invocation& inv = invocations[e.a];
-          if (proxies[inv.proxy].forwarder) {
-            --proxies[inv.proxy].out[inv.worker];
-            ++touch(proxies[inv.proxy], inv.worker, inv.operation).errored;
+          Invocation& invocation = invocations[e.target];
+          if (proxies[invocation.proxy].forwarder) {
+            --proxies[invocation.proxy].outstanding[invocation.worker];
+            ++counts_of(proxies[invocation.proxy], invocation.worker, invocation.operation).errored;
           }
-          ++inv.generation;
-          caller_heard(e.a, Reply::broken);
+          ++invocation.generation;
+          handle_caller_reply(e.target, Reply::no_reply);
         }
         return;
-      case What::finish:
-        if (finishes[e.a] == e.b && workers[e.a].up()) finish(e.a);
+      case EventType::job_finish:
+        if (finish_generation[e.target] == e.detail && workers[e.target].up()) finish_jobs(e.target);
         return;
-      case What::poll:
-        if (h->life != e.c) return;
-        poll(*h, e.b);
-        return after(load_every(*h), What::poll, e.a, e.b, e.c);
-      case What::health_failed:
-        if (h->life != e.c) return;
-        h->asking[e.b] = false;
-        if (h->ids[e.b])
-          give(*h, coordinator::HealthCheckResult{*h->ids[e.b], coordinator::Health::failed, kHealthTimeout});
-        return after(kHealthAgain, What::health_again, e.a, e.b, e.c);
-      case What::health_again:
-        if (h->life == e.c && h->ids[e.b] && !h->asking[e.b]) static_cast<void>(one_health(*h, e.b));
+      case EventType::load_poll:
+        if (process->incarnation != e.guard) return;
+        poll_load(*process, e.detail);
+        return schedule_after(load_interval(*process), EventType::load_poll, e.target, e.detail, e.guard);
+      case EventType::health_timeout:
+        if (process->incarnation != e.guard) return;
+        process->health_pending[e.detail] = false;
+        if (process->backend_ids[e.detail])
+          add_input(*process, coordinator::HealthCheckResult{*process->backend_ids[e.detail],
+                                                             coordinator::Health::failed, kHealthTimeout});
+        return schedule_after(kHealthRetryDelay, EventType::health_retry, e.target, e.detail, e.guard);
+      case EventType::health_retry:
+        if (process->incarnation == e.guard && process->backend_ids[e.detail] &&
+            !process->health_pending[e.detail])
+          static_cast<void>(check_health_once(*process, e.detail));
         return;
-      case What::step:
-        if (h->life == e.b && h->gathering) step(*h);
+      case EventType::core_step:
+        if (process->incarnation == e.detail && process->step_scheduled) step(*process);
         return;
-      case What::wake:
-        if (h->wake == e.b) step(*h);
+      case EventType::core_wakeup:
+        if (process->wakeup_id == e.detail) step(*process);
         return;
-      case What::report:
-        if (h->life != e.b) return;
-        report(*h);
-        return after(h->core->settings().report_every, What::report, e.a, e.b);
-      case What::stream:
-        if (h->streams[e.b].life == e.c) stream_stands(*h, e.b), joined_at[e.b] = now;
+      case EventType::report_due:
+        if (process->incarnation != e.detail) return;
+        send_report(*process);
+        return schedule_after(process->core->settings().report_every, EventType::report_due, e.target,
+                              e.detail);
+      case EventType::stream_open:
+        if (process->streams[e.detail].incarnation == e.guard)
+          stream_opened(*process, e.detail), led_since[e.detail] = now;
         return;
-      case What::batch:
-        if (!held_batches.contains(e.a)) batch(e.a);
+      case EventType::batch_arrives:
+        if (!withheld_batches.contains(e.target)) apply_batch(e.target);
         return;
-      case What::batch_done:
-        if (h->streams[e.b].life != e.c) return;
-        h->streams[e.b].busy = false;
-        return advance(*h, e.b);
-      case What::message:
-        if (const auto m = messages.extract(e.b); !m.empty()) {
-          h->cluster->receive(local(*h), m.mapped());
-          tick_cluster(*h);
+      case EventType::batch_acknowledged:
+        if (process->streams[e.detail].incarnation != e.guard) return;
+        process->streams[e.detail].batch_in_flight = false;
+        return send_next_batch(*process, e.detail);
+      case EventType::message_arrives:
+        if (const auto m = messages.extract(e.detail); !m.empty()) {
+          process->cluster->receive(local_time(*process), m.mapped());
+          tick_cluster(*process);
         }
         return;
-      case What::cluster_wake:
-        if (h->cluster_wake == e.b) tick_cluster(*h);
+      case EventType::cluster_tick:
+        if (process->cluster_wakeup_id == e.detail) tick_cluster(*process);
         return;
-      case What::tell: {
-        if (h->life != e.b) return;
+      case EventType::fact_exchange: {
+        if (process->incarnation != e.detail) return;
         bool changed = false;
-        follow(*h, h->part->exchange_facts(local(*h), *h->core, changed));
-        if (changed) tick_cluster(*h);
-        return after(kTellCluster, What::tell, e.a, e.b);
+        apply_cluster_update(*process, process->cluster_adapter->exchange_facts(local_time(*process),
+                                                                                *process->core, changed));
+        if (changed) tick_cluster(*process);
+        return schedule_after(kFactExchangeInterval, EventType::fact_exchange, e.target, e.detail);
       }
-      case What::strike_host:
-        if (e.b == 1) return pause(hosts[e.a]);
-        if (hosts[e.a].up) stop(hosts[e.a]);
+      case EventType::process_fault:
+        if (e.detail == 1) return pause(processes[e.target]);
+        if (processes[e.target].up) stop(processes[e.target]);
         return;
-      case What::trouble:
-        return strike(e.a);
-      case What::trouble_over:
-        return over(e.a);
-      case What::kill: {
-        const auto& kill = day.kills[e.a];
-        Host& victim = hosts[std::strtoul(kill.coordinator.c_str() + 6, nullptr, 10) - 1];
+      case EventType::fault_start:
+        return start_fault(e.target);
+      case EventType::fault_end:
+        return end_fault(e.target);
+      case EventType::process_stop: {
+        const auto& kill = day.kills[e.target];
+        Process& victim = processes[std::strtoul(kill.coordinator.c_str() + 6, nullptr, 10) - 1];
         if (kill.pause) {
           pause(victim);
         } else if (victim.up) {
           if (kill.planned && victim.cluster) {
-            static_cast<void>(victim.cluster->hand_over_all(local(victim)));
+            static_cast<void>(victim.cluster->hand_over_all(local_time(victim)));
             tick_cluster(victim);  // what it says of that is on its way before it goes
           }
           stop(victim);
         }
-        return after(kill.lasts, What::kill_over, e.a);
+        return schedule_after(kill.lasts, EventType::process_restart, e.target);
       }
-      case What::kill_over: {
-        const auto& kill = day.kills[e.a];
-        Host& victim = hosts[std::strtoul(kill.coordinator.c_str() + 6, nullptr, 10) - 1];
+      case EventType::process_restart: {
+        const auto& kill = day.kills[e.target];
+        Process& victim = processes[std::strtoul(kill.coordinator.c_str() + 6, nullptr, 10) - 1];
         if (kill.pause) {
           resume(victim);
         } else if (!victim.up) {
@@ -1440,99 +1584,100 @@
         }
         return;
       }
-      case What::phase:
-        pace = day.phases[e.a].rate, ++paces;
-        for (std::uint32_t p = 0; p < proxies.size(); ++p) next_ask(p);
+      case EventType::phase_start:
+        rate_factor = day.phases[e.target].rate, ++rate_generation;
+        for (std::uint32_t proxy = 0; proxy < proxies.size(); ++proxy) schedule_request(proxy);
         return;
-      case What::roster:
-        if (h->life == e.b) give_roster(*h);
+      case EventType::roster_update:
+        if (process->incarnation == e.detail) add_roster(*process);
         return;
-      case What::second:
-        return second();
-      case What::churn:
-        return churn();
-      case What::fault:
-        return fault();
-      case What::watch:
-        return watch();
-      case What::person:
-        for (auto& one : hosts)
-          if (one.up) give(one, day.persons[e.a].order);
+      case EventType::second_tick:
+        return take_sample();
+      case EventType::weight_churn:
+        return churn_weights();
+      case EventType::random_fault:
+        return inject_random_fault();
+      case EventType::rule_check:
+        return check_rules();
+      case EventType::operator_command:
+        for (auto& each : processes)
+          if (each.up) add_input(each, day.persons[e.target].order);
         return;
-      case What::write_down: {
-        if (h->life != e.b) return;
-        h->kept.clear();
-        for (const auto& [subject, fact] : h->core->facts())
-          h->kept.push_back({subject, fact, local(*h), h->kept.size() + 1, false});
-        h->kept_at = now;
-        return after(s.written_every, What::write_down, e.a, e.b);
+      case EventType::store_write: {
+        if (process->incarnation != e.detail) return;
+        process->stored_facts.clear();
+        for (const auto& [subject, fact] : process->core->facts())
+          process->stored_facts.push_back(
+              {subject, fact, local_time(*process), process->stored_facts.size() + 1, false});
+        process->stored_at = now;
+        return schedule_after(options.store_interval, EventType::store_write, e.target, e.detail);
       }
     }
   }
 
   Outcome run() {
     build();
-    const Instant end = begin + day.length;
-    bool healed = s.random_faults == 0;
+    const Instant end = day_start + day.length;
+    bool healed = options.random_faults == 0;
     while (!events.empty()) {
       const Event e = events.top();
       if (Instant{} + Span::micros(e.at) > end) break;
       events.pop();
       now = Instant{} + Span::micros(e.at);
-      if (!healed && now > end - Span::seconds(6)) healed = true, heal();
-      take(e);
+      if (!healed && now > end - Span::seconds(6)) healed = true, clear_random_faults();
+      dispatch(e);
     }
     now = end;
-    for (const auto& w : workers)
-      out.worst_cold_overload = std::max(out.worst_cold_overload, w.worst_brought());
-    return std::move(out);
+    for (const auto& worker : workers)
+      outcome.worst_cold_overload = std::max(outcome.worst_cold_overload, worker.peak_cold_load());
+    return std::move(outcome);
   }
 
   const Day day;
-  SimulationSettings s;
-  std::mt19937 chance;
-  const Instant begin = Instant::at_seconds(1000);
+  SimulationSettings options;
+  std::mt19937 rng;
+  const Instant day_start = Instant::at_seconds(1000);
   Instant now;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events;
-  std::uint64_t order = 0;
+  std::uint64_t sequence = 0;
   std::vector<Prefix> sources;
-  std::vector<script::ForwarderPlace> fronts;
-  std::vector<script::RosterLine> roster, usual;
+  std::vector<script::ForwarderPlace> forwarder_places;
+  std::vector<script::RosterLine> roster, configured_roster;
   std::vector<WorkerModel> workers;
-  std::map<std::string, std::uint32_t> place;
-  std::vector<std::uint32_t> finishes;
-  std::vector<std::optional<Instant>> told_draining;
-  std::vector<Span> late_load;
+  std::map<std::string, std::uint32_t> worker_by_name;
+  std::vector<std::uint32_t> finish_generation;
+  std::vector<std::optional<Instant>> draining_since;
+  std::vector<Span> load_report_delay;
   std::vector<double> shares;
-  std::discrete_distribution<int> pick_operation;
+  std::discrete_distribution<int> draw_operation;
   std::vector<Proxy> proxies;  // forwarders first
-  std::vector<Pick> oracle;
-  std::vector<double> zone_parts;                   // of forwarders' work, by zone, a second ago
-  std::vector<std::optional<Instant>> groups_bare;  // by zone and operation
-  std::deque<Host> hosts;
+  std::vector<WeightedWorker> oracle_picks;
+  std::vector<double> zone_shares;                           // of forwarders' work, by zone, a second ago
+  std::vector<std::optional<Instant>> group_unserved_since;  // by zone and operation
+  std::deque<Process> processes;
   std::vector<Invocation> invocations;
-  std::vector<std::uint32_t> free;
-  std::vector<WorkerModel::Job> began_now, finished_now;
-  std::vector<Instant> last_used;
+  std::vector<std::uint32_t> free_ids;
+  std::vector<WorkerModel::Job> started_now, finished_now;
+  std::vector<Instant> last_connection_use;
   std::map<std::uint32_t, Batch> batches;
-  std::set<std::uint32_t> held_batches;
-  std::vector<std::uint32_t> late_batches;
-  std::uint32_t batch_number = 0, message_number = 0, paces = 0;
+  std::set<std::uint32_t> withheld_batches;
+  std::vector<std::uint32_t> delayed_batches;
+  std::uint32_t last_batch_id = 0, last_message_id = 0, rate_generation = 0;
   std::map<std::uint32_t, cluster::Message> messages;
-  std::map<std::uint32_t, std::uint64_t> obeyed;  // the highest term, by forwarder
-  std::map<std::uint32_t, Instant> joined_at;
-  std::shared_ptr<const coordinator::DesiredTable> way_wanted;
-  forwarders::Held way_from;
-  std::vector<forwarders::Change> way;
-  std::set<std::pair<std::size_t, std::size_t>> cut_zones, cut_hosts, slow_hosts;
-  std::map<std::pair<std::size_t, std::size_t>, Span> slow_zones;
-  std::map<std::size_t, bool> armed_hosts;  // to be killed, or paused, while they send
-  double loss = 0, pace = 1;
-  bool stale = false;
-  std::map<std::uint32_t, std::vector<std::uint32_t>> struck;  // by trouble
-  std::vector<std::uint64_t> last_taken;
+  std::map<std::uint32_t, std::uint64_t> highest_applied_term;  // the highest term, by forwarder
+  std::map<std::uint32_t, Instant> led_since;
+  std::shared_ptr<const coordinator::DesiredTable> planned_table;
+  forwarders::Held planned_from;
+  std::vector<forwarders::Change> planned_changes;
+  std::set<std::pair<std::size_t, std::size_t>> cut_zone_links, cut_process_links, slow_process_links;
+  std::map<std::pair<std::size_t, std::size_t>, Span> slow_zone_links;
+  std::map<std::size_t, bool> armed_processes;  // to be killed, or paused, while they send
+  double message_loss = 0, rate_factor = 1;
+  bool roster_frozen = false;
+  std::map<std::uint32_t, std::vector<std::uint32_t>> affected;  // by trouble
+  std::vector<std::uint64_t> last_arrivals;
   Tally uncounted;
-  Outcome out;
+  Outcome outcome;
 };
 
 Simulation::Simulation(const Day& day, SimulationSettings settings)
--- a/src/lab/simulation/simulation.hpp
+++ b/src/lab/simulation/simulation.hpp
@@ -26,14 +26,14 @@
   // Settings of a coordinator, by its number from 1; absent: those that the day implies.
   std::function<coordinator::Settings(std::size_t number)> settings;
   Span latency = Span::seconds(0.0002);  // one way, within a zone
-  Span latency_across = Span::seconds(0.0005);
-  double clock_drift = 0;             // of each coordinator's clock, at most half of it either way
-  Span gather = Span::seconds(0.02);  // inputs of that time are stepped together
-  Span load_every, health_every;      // zero: as a coordinator does in service
+  Span cross_zone_latency = Span::seconds(0.0005);
+  double clock_drift = 0;                   // of each coordinator's clock, at most half of it either way
+  Span input_window = Span::seconds(0.02);  // inputs of that time are stepped together
+  Span load_interval, health_interval;      // zero: as a coordinator does in service
   // In service nothing outlasts a coordinator that is killed, unless it keeps a store: what it knew when it
   // last wrote.
   bool keep_store = false;
-  Span written_every = Span::seconds(1);
+  Span store_interval = Span::seconds(1);
   // Each step of a coordinator, as it is made: for recordings and for checks.
   std::function<void(std::size_t number, Instant local, const std::vector<coordinator::Input>&,
                      const coordinator::Effects&)>
@@ -63,7 +63,7 @@
   int duplicate_effects = 0;            // side-effecting invocations that began more than once
   double longest_send_after_drain = 0;  // s after the telling, by obedient senders
   double worst_cold_overload = 0;       // times the capacity
-  int fell = 0;
+  int collapses = 0;
   double most_waiting_lines = 0;           // lines in a channel
   std::uint64_t stale_terms_accepted = 0;  // orders of a lower term than one that was obeyed before
   std::uint64_t double_leaders = 0;        // moments in which two led one shard
@@ -107,6 +107,6 @@
 };
 
 // The settings that `gorsemount serve` would be started with on such a day.
-[[nodiscard]] coordinator::Settings settings_of(const script::Day& day, std::size_t number);
+[[nodiscard]] coordinator::Settings settings_for_coordinator(const script::Day& day, std::size_t number);
 
 }  // namespace gorsemount::lab
--- a/src/lab/simulation/worker_model.cpp
+++ b/src/lab/simulation/worker_model.cpp
@@ -8,134 +8,138 @@
 
 namespace {
 
-const Span kLoadOver = Span::seconds(0.5);  // as the stand-in sums up its use of processors
+const Span kLoadWindow = Span::seconds(0.5);  // the stand-in worker averages its CPU use over the same time
 
 }  // namespace
 
 void WorkerModel::start(Instant now, bool cold) {
-  up_ = true, fallen_ = false, trouble_.reset();
-  started_ = at_ = now, warm_at_ = cold ? now + k_.cold_for : now;
-  ++boots_;
-  running_.clear(), queue_.clear(), queued_ = 0;
-  for (auto& c : counts_) c = {};
-  busy_ = 0, busy_log_.clear(), brought_.clear(), brought_sum_ = 0;
+  up_ = true, collapsed_ = false, fault_.reset();
+  booted_at_ = advanced_to_ = now, warm_at_ = cold ? now + spec_.cold_for : now;
+  ++boot_count_;
+  running_.clear(), queue_.clear(), queued_work_ = 0;
+  for (auto& counts : counts_) counts = {};
+  busy_core_seconds_ = 0, busy_samples_.clear(), recent_cold_work_.clear(), recent_cold_work_sum_ = 0;
 }
 
 std::vector<WorkerModel::Job> WorkerModel::crash(Instant now) {
   advance(now);
-  up_ = false, trouble_.reset();
+  up_ = false, fault_.reset();
   std::vector<Job> lost;
-  for (const auto& [v, job] : running_) lost.push_back(job);
+  for (const auto& [attained, job] : running_) lost.push_back(job);
   lost.insert(lost.end(), queue_.begin(), queue_.end());
-  running_.clear(), queue_.clear(), queued_ = 0;
+  running_.clear(), queue_.clear(), queued_work_ = 0;
   return lost;
 }
 
-void WorkerModel::trouble(Instant now, TroubleKind kind, double size) {
+void WorkerModel::inject_fault(Instant now, TroubleKind kind, double size) {
   if (!up_) return;
   advance(now);
-  trouble_ = kind, trouble_size_ = size, struck_at_ = now;
+  fault_ = kind, fault_size_ = size, fault_started_ = now;
 }
 
 std::vector<WorkerModel::Job> WorkerModel::recover(Instant now) {
   std::vector<Job> lost;
-  if (!up_ || !trouble_) return lost;
-  const auto was = *trouble_;
+  if (!up_ || !fault_) return lost;
+  const auto before = *fault_;
   advance(now);
-  trouble_.reset();
-  if (was == TroubleKind::silent || was == TroubleKind::hang) {
-    for (const auto& [v, job] : running_) lost.push_back(job);
+  fault_.reset();
+  if (before == TroubleKind::silent || before == TroubleKind::hang) {
+    for (const auto& [attained, job] : running_) lost.push_back(job);
     lost.insert(lost.end(), queue_.begin(), queue_.end());
-    running_.clear(), queue_.clear(), queued_ = 0;
-    if (was == TroubleKind::silent) start(now, true);
+    running_.clear(), queue_.clear(), queued_work_ = 0;
+    if (before == TroubleKind::silent) start(now, true);
   }
   return lost;
 }
 
-double WorkerModel::warmth(Instant now) const {
+double WorkerModel::warm_up_factor(Instant now) const {
   if (now >= warm_at_) return 1;
-  return k_.cold_from + (1 - k_.cold_from) * (now - started_).seconds() / k_.cold_for.seconds();
+  return spec_.cold_from + (1 - spec_.cold_from) * (now - booted_at_).seconds() / spec_.cold_for.seconds();
 }
 
-double WorkerModel::rate(Instant now) const {
-  const auto n = static_cast<double>(running_.size());
-  if (n <= 0 || stuck()) return 0;
-  double r =
-      k_.speed * warmth(now) * std::min(1.0, k_.cores / n) / (1 + k_.loss * std::max(0.0, n / k_.cores - 1));
-  if (trouble_ == TroubleKind::slow) r /= std::max(1e-3, trouble_size_);
-  return r;
+double WorkerModel::rate_per_job(Instant now) const {
+  const auto running = static_cast<double>(running_.size());
+  if (running <= 0 || stalled()) return 0;
+  double rate = spec_.speed * warm_up_factor(now) * std::min(1.0, spec_.cores / running) /
+                (1 + spec_.loss * std::max(0.0, running / spec_.cores - 1));
+  if (fault_ == TroubleKind::slow) rate /= std::max(1e-3, fault_size_);
+  return rate;
 }
 
 void WorkerModel::advance(Instant now) {
-  const double over = (now - at_).seconds();
-  if (over > 0) {
-    // Warmth in the middle of the span: events come far more often than it changes.
-    served_ += rate(at_ + Span::seconds(over / 2)) * over;
-    busy_ += std::min(k_.cores, static_cast<double>(running_.size())) * over;
-    at_ = now;
+  const double elapsed = (now - advanced_to_).seconds();
+  if (elapsed > 0) {
+    // The warm-up factor in the middle of the span is close enough: events are far more frequent than its
+    // changes.
+    attained_service_ += rate_per_job(advanced_to_ + Span::seconds(elapsed / 2)) * elapsed;
+    busy_core_seconds_ += std::min(spec_.cores, static_cast<double>(running_.size())) * elapsed;
+    advanced_to_ = now;
   }
-  if (busy_log_.empty() || now - busy_log_.back().first >= Span::seconds(0.05))
-    busy_log_.emplace_back(now, busy_);
-  while (busy_log_.size() > 2 && now - busy_log_[1].first >= kLoadOver) busy_log_.pop_front();
+  if (busy_samples_.empty() || now - busy_samples_.back().first >= Span::seconds(0.05))
+    busy_samples_.emplace_back(now, busy_core_seconds_);
+  while (busy_samples_.size() > 2 && now - busy_samples_[1].first >= kLoadWindow) busy_samples_.pop_front();
 }
 
 std::optional<Instant> WorkerModel::next_finish(Instant now) {
   advance(now);
-  if (running_.empty() || stuck()) return {};
-  const double r = rate(now);
-  if (r <= 0) return {};
-  const double left = std::max(0.0, running_.begin()->first - served_) / r;
-  // While it warms up its rate grows; looked at again in good time.
-  return now + Span::seconds(std::max(1e-6, cold(now) ? std::min(left, 0.25) : left));
+  if (running_.empty() || stalled()) return {};
+  const double rate = rate_per_job(now);
+  if (rate <= 0) return {};
+  const double remaining = std::max(0.0, running_.begin()->first - attained_service_) / rate;
+  // The rate grows during warm-up, so the estimate is renewed after a quarter of a second at the latest.
+  return now + Span::seconds(std::max(1e-6, cold(now) ? std::min(remaining, 0.25) : remaining));
 }
 
-// Rule 4: more than the multiple of what it can do, for long enough, and it falls over and stays down.
-void WorkerModel::brought(Instant now, double work) {
+// A cold worker collapses, and stays down, once the work that arrived within `tip_after` exceeds
+// `tip_multiple` times its capacity.
+void WorkerModel::track_cold_load(Instant now, double work) {
   if (now >= warm_at_) return;
-  brought_.emplace_back(now, work), brought_sum_ += work;
-  while (now - brought_.front().first > k_.tip_after)
-    brought_sum_ -= brought_.front().second, brought_.pop_front();
-  const double able = warmth(now) * k_.cores * k_.speed * k_.tip_after.seconds();
-  worst_brought_ = std::max(worst_brought_, brought_sum_ / able);
-  if (brought_sum_ > k_.tip_multiple * able) fallen_ = true;
+  recent_cold_work_.emplace_back(now, work), recent_cold_work_sum_ += work;
+  while (now - recent_cold_work_.front().first > spec_.tip_after)
+    recent_cold_work_sum_ -= recent_cold_work_.front().second, recent_cold_work_.pop_front();
+  const double capacity = warm_up_factor(now) * spec_.cores * spec_.speed * spec_.tip_after.seconds();
+  peak_cold_load_ = std::max(peak_cold_load_, recent_cold_work_sum_ / capacity);
+  if (recent_cold_work_sum_ > spec_.tip_multiple * capacity) collapsed_ = true;
 }
 
-std::optional<double> WorkerModel::health(Instant now) {
-  if (!up_ || stuck()) return {};
+std::optional<double> WorkerModel::health_latency(Instant now) {
+  if (!up_ || stalled()) return {};
   advance(now);
-  const double able =
-      k_.cores * k_.speed * warmth(now) / (trouble_ == TroubleKind::slow ? std::max(1e-3, trouble_size_) : 1);
-  const bool full = running_.size() >= static_cast<std::size_t>(k_.slots);
-  return 0.002 / (k_.speed * warmth(now)) + (full ? queued_ / able : 0);
+  const double capacity = spec_.cores * spec_.speed * warm_up_factor(now) /
+                          (fault_ == TroubleKind::slow ? std::max(1e-3, fault_size_) : 1);
+  const bool full = running_.size() >= static_cast<std::size_t>(spec_.slots);
+  return 0.002 / (spec_.speed * warm_up_factor(now)) + (full ? queued_work_ / capacity : 0);
 }
 
-double WorkerModel::able(Instant now) const {
-  if (!up_ || stuck() || trouble_ == TroubleKind::refuse || trouble_ == TroubleKind::drain) return 0;
-  double able = k_.cores * k_.speed * warmth(now);
-  if (trouble_ == TroubleKind::slow) able /= std::max(1e-3, trouble_size_);
-  if (trouble_ == TroubleKind::errors) able *= 1 - trouble_size_;
-  return able;
+double WorkerModel::capacity(Instant now) const {
+  if (!up_ || stalled() || fault_ == TroubleKind::refuse || fault_ == TroubleKind::drain) return 0;
+  double capacity = spec_.cores * spec_.speed * warm_up_factor(now);
+  if (fault_ == TroubleKind::slow) capacity /= std::max(1e-3, fault_size_);
+  if (fault_ == TroubleKind::errors) capacity *= 1 - fault_size_;
+  return capacity;
 }
 
-coordinator::LoadSample WorkerModel::load(Instant now) {
+coordinator::LoadSample WorkerModel::load_sample(Instant now) {
   advance(now);
-  coordinator::LoadSample s;
-  s.boot = name_ + "-" + std::to_string(boots_);
-  s.uptime = (now - started_).seconds() + (warm_at_ == started_ ? 1e6 : 0);
-  s.draining = trouble_ == TroubleKind::drain;
-  const auto& [from, was] = busy_log_.front();
-  const double over = (now - from).seconds();
-  s.util = std::min(
-      1.0, told_util_ * (over > 0.05 ? (busy_ - was) / over / k_.cores
-                                     : std::min(k_.cores, static_cast<double>(running_.size())) / k_.cores));
-  s.queue = static_cast<double>(queue_.size());
-  for (std::size_t k = 0; k < counts_.size(); ++k) {
-    const Counts& c = counts_[k];
-    if (c.taken + c.refused == 0) continue;
-    s.counts.push_back({OperationId{static_cast<std::uint8_t>(k % operations_)}, sources_[k / operations_],
-                        c.taken, c.succeeded, c.errored, c.refused, c.latency});
+  coordinator::LoadSample sample;
+  sample.boot = name_ + "-" + std::to_string(boot_count_);
+  sample.uptime = (now - booted_at_).seconds() + (warm_at_ == booted_at_ ? 1e6 : 0);
+  sample.draining = fault_ == TroubleKind::drain;
+  const auto& [from, before] = busy_samples_.front();
+  const double elapsed = (now - from).seconds();
+  sample.util = std::min(
+      1.0, reported_util_factor_ *
+               (elapsed > 0.05 ? (busy_core_seconds_ - before) / elapsed / spec_.cores
+                               : std::min(spec_.cores, static_cast<double>(running_.size())) / spec_.cores));
+  sample.queue = static_cast<double>(queue_.size());
+  for (std::size_t index = 0; index < counts_.size(); ++index) {
+    const Counts& counts = counts_[index];
+    if (counts.accepted + counts.refused == 0) continue;
+    sample.counts.push_back({OperationId{static_cast<std::uint8_t>(index % operations_)},
+                             sources_[index / operations_], counts.accepted, counts.succeeded, counts.errored,
+                             counts.refused, counts.latency});
   }
-  return s;
+  return sample;
 }
 
 }  // namespace gorsemount::lab
--- a/src/lab/simulation/worker_model.hpp
+++ b/src/lab/simulation/worker_model.hpp
@@ -1,6 +1,6 @@
-// A worker under a virtual clock: some cores shared evenly by the invocations in its slots, a queue before
-// them, a cold start, and what goes wrong with it. With as many slots as cores it serves first come, first
-// served.
+// A simulated worker: the invocations in its slots share its cores evenly (processor sharing), the others
+// wait in a bounded FIFO queue. It also models a cold start and injected faults. With as many slots as cores
+// it serves in order of arrival.
 #pragma once
 
 #include <deque>
@@ -14,13 +14,13 @@
 
 namespace gorsemount::lab {
 
-struct WorkerKind {
+struct WorkerSpec {
   std::size_t zone = 0;
   double cores = 2, speed = 1;
   int slots = 2, queue_most = 64;
-  double connect_cost = 0;  // s of work for a new connection
-  double loss = 0;          // of efficiency: each further core's worth of invocations at once costs this part
-  bool cancels = true;      // what was given up before it began is never begun
+  double connect_cost = 0;  // work that a new connection adds, in seconds
+  double loss = 0;          // efficiency lost for each further core's worth of concurrent invocations
+  bool cancels = true;      // drops a queued job whose caller has given up
   Span cold_for, tip_after, drain_grace;
   double cold_from = 0.2, tip_multiple = 3;
 };
@@ -29,132 +29,135 @@
  public:
   struct Job {
     std::uint32_t invocation = 0, generation = 0;
-    std::uint8_t operation = 0, source = 0;  // source: a group's place, or that of all forwarders behind them
-    double work = 0;                         // s of one core at speed 1
-    Instant came;
+    std::uint8_t operation = 0,
+                 source = 0;  // source: index of the client zone; forwarders share the last one
+    double work = 0;          // seconds of one core at speed 1
+    Instant arrived_at;
   };
   struct Finished {
     Job job;
     bool errored = false;
   };
 
-  WorkerModel(std::string name, WorkerKind kind, std::vector<Prefix> sources, std::size_t operations)
+  WorkerModel(std::string name, WorkerSpec spec, std::vector<Prefix> sources, std::size_t operations)
       : name_{std::move(name)},
-        k_{kind},
+        spec_{spec},
         sources_{std::move(sources)},
         counts_(sources_.size() * operations),
         operations_{operations} {}
 
   void start(Instant now, bool cold);
-  // What was inside is lost with the connections; returns it.
+  // Returns the running and queued jobs, which are lost.
   std::vector<Job> crash(Instant now);
-  void trouble(Instant now, script::TroubleKind kind, double size);
-  std::vector<Job> recover(Instant now);  // what hung is lost
+  void inject_fault(Instant now, script::TroubleKind kind, double size);
+  std::vector<Job> recover(Instant now);  // returns the jobs lost in a hang or a silent fault
   [[nodiscard]] bool up() const { return up_; }
-  [[nodiscard]] bool well() const { return up_ && !trouble_; }
-  [[nodiscard]] std::optional<script::TroubleKind> struck() const { return trouble_; }
-  [[nodiscard]] double trouble_size() const { return trouble_size_; }
+  [[nodiscard]] bool healthy() const { return up_ && !fault_; }
+  [[nodiscard]] std::optional<script::TroubleKind> fault() const { return fault_; }
+  [[nodiscard]] double fault_size() const { return fault_size_; }
 
-  enum class Taken { taken, refused, errored, swallowed };
-  // `left`: whether a job's caller is still there. `began` gets those that begin.
-  template <class There>
-  Taken offer(Instant now, Job job, std::mt19937& chance, There there, std::vector<Job>& began) {
-    if (trouble_ == script::TroubleKind::silent) return Taken::swallowed;
-    Counts& c = count(job);
-    const bool drained = trouble_ == script::TroubleKind::drain && now - struck_at_ > k_.drain_grace;
-    if (drained || trouble_ == script::TroubleKind::refuse ||
-        queue_.size() >= static_cast<std::size_t>(k_.queue_most)) {
-      ++c.refused;
-      return Taken::refused;
+  enum class Admission { accepted, refused, errored, dropped };
+  // `caller_waiting` tells whether a job's caller still waits for it. Jobs that start running are appended to
+  // `started`.
+  template <class CallerWaiting>
+  Admission submit(Instant now, Job job, std::mt19937& rng, CallerWaiting caller_waiting,
+                   std::vector<Job>& started) {
+    if (fault_ == script::TroubleKind::silent) return Admission::dropped;
+    Counts& counts = count(job);
+    const bool drain_over = fault_ == script::TroubleKind::drain && now - fault_started_ > spec_.drain_grace;
+    if (drain_over || fault_ == script::TroubleKind::refuse ||
+        queue_.size() >= static_cast<std::size_t>(spec_.queue_most)) {
+      ++counts.refused;
+      return Admission::refused;
     }
-    ++c.taken;
-    if (trouble_ == script::TroubleKind::errors &&
-        std::uniform_real_distribution<>{}(chance) < trouble_size_) {
-      ++c.errored;
-      return Taken::errored;
+    ++counts.accepted;
+    if (fault_ == script::TroubleKind::errors && std::uniform_real_distribution<>{}(rng) < fault_size_) {
+      ++counts.errored;
+      return Admission::errored;
     }
-    brought(now, job.work);
+    track_cold_load(now, job.work);
     advance(now);
-    queued_ += job.work;
+    queued_work_ += job.work;
     queue_.push_back(job);
-    pump(now, there, began);
-    return Taken::taken;
+    start_queued(now, caller_waiting, started);
+    return Admission::accepted;
   }
-  // When the next one is done, if nothing changes; nothing while it hangs or is empty.
+  // When the next job finishes if nothing changes; empty while the worker is stalled or idle.
   [[nodiscard]] std::optional<Instant> next_finish(Instant now);
-  template <class There>
-  void finish(Instant now, There there, std::vector<Job>& finished, std::vector<Job>& began) {
+  template <class CallerWaiting>
+  void finish(Instant now, CallerWaiting caller_waiting, std::vector<Job>& finished,
+              std::vector<Job>& started) {
     advance(now);
-    while (!running_.empty() && running_.begin()->first <= served_ + 1e-7 && !stuck()) {
+    while (!running_.empty() && running_.begin()->first <= attained_service_ + 1e-7 && !stalled()) {
       const Job job = running_.begin()->second;
       running_.erase(running_.begin());
-      Counts& c = count(job);
-      ++c.succeeded, c.latency += (now - job.came).seconds();
+      Counts& counts = count(job);
+      ++counts.succeeded, counts.latency += (now - job.arrived_at).seconds();
       finished.push_back(job);
     }
-    pump(now, there, began);
+    start_queued(now, caller_waiting, started);
   }
 
-  [[nodiscard]] coordinator::LoadSample load(Instant now);
-  // How long a health call would wait; none while it hangs, is silent or down.
-  [[nodiscard]] std::optional<double> health(Instant now);
-  [[nodiscard]] double warmth(Instant now) const;
+  [[nodiscard]] coordinator::LoadSample load_sample(Instant now);
+  // Latency of a health check in seconds; empty while the worker is stalled or down.
+  [[nodiscard]] std::optional<double> health_latency(Instant now);
+  [[nodiscard]] double warm_up_factor(Instant now) const;
   [[nodiscard]] bool cold(Instant now) const { return up_ && now < warm_at_; }
-  [[nodiscard]] bool fallen() const { return fallen_; }
-  // The most that came to it while cold, for what it could do then; since its start.
-  [[nodiscard]] double worst_brought() const { return worst_brought_; }
-  [[nodiscard]] const WorkerKind& kind() const { return k_; }
+  [[nodiscard]] bool collapsed() const { return collapsed_; }
+  // The highest ratio so far of work that arrived while it was cold to its capacity then.
+  [[nodiscard]] double peak_cold_load() const { return peak_cold_load_; }
+  [[nodiscard]] const WorkerSpec& spec() const { return spec_; }
   [[nodiscard]] const std::string& name() const { return name_; }
-  [[nodiscard]] Instant struck_at() const { return struck_at_; }
-  void age(double factor) { k_.speed *= factor; }
-  void lie(double factor) { told_util_ = factor; }  // what it tells of its processors, times this
-  // What it can do now, in work a second; nothing while it answers no work.
-  [[nodiscard]] double able(Instant now) const;
+  [[nodiscard]] Instant fault_started() const { return fault_started_; }
+  void scale_speed(double factor) { spec_.speed *= factor; }
+  void set_reported_util_factor(double factor) { reported_util_factor_ = factor; }
+  // Work per second that it can complete now; 0 while it completes none.
+  [[nodiscard]] double capacity(Instant now) const;
 
  private:
   struct Counts {
-    std::uint64_t taken = 0, succeeded = 0, errored = 0, refused = 0;
+    std::uint64_t accepted = 0, succeeded = 0, errored = 0, refused = 0;
     double latency = 0;
   };
   Counts& count(const Job& job) { return counts_[job.source * operations_ + job.operation]; }
-  [[nodiscard]] bool stuck() const {
-    return trouble_ == script::TroubleKind::hang || trouble_ == script::TroubleKind::silent;
+  [[nodiscard]] bool stalled() const {
+    return fault_ == script::TroubleKind::hang || fault_ == script::TroubleKind::silent;
   }
-  [[nodiscard]] double rate(Instant now) const;  // of work for each running one
+  [[nodiscard]] double rate_per_job(Instant now) const;  // work per second of each running job
   void advance(Instant now);
-  void brought(Instant now, double work);
-  template <class There>
-  void pump(Instant, There there, std::vector<Job>& began) {
-    if (stuck()) return;
-    while (!queue_.empty() && running_.size() < static_cast<std::size_t>(k_.slots)) {
+  void track_cold_load(Instant now, double work);
+  template <class CallerWaiting>
+  void start_queued(Instant, CallerWaiting caller_waiting, std::vector<Job>& started) {
+    if (stalled()) return;
+    while (!queue_.empty() && running_.size() < static_cast<std::size_t>(spec_.slots)) {
       const Job job = queue_.front();
       queue_.pop_front();
-      queued_ = std::max(0.0, queued_ - job.work);
-      if (k_.cancels && !there(job)) {
+      queued_work_ = std::max(0.0, queued_work_ - job.work);
+      if (spec_.cancels && !caller_waiting(job)) {
         ++count(job).errored;
         continue;
       }
-      running_.emplace(served_ + job.work, job);
-      began.push_back(job);
+      running_.emplace(attained_service_ + job.work, job);
+      started.push_back(job);
     }
   }
 
   std::string name_;
-  WorkerKind k_;
+  WorkerSpec spec_;
   std::vector<Prefix> sources_;
-  bool up_ = false, fallen_ = false;
-  std::optional<script::TroubleKind> trouble_;
-  double trouble_size_ = 1;
-  Instant started_, warm_at_, struck_at_, at_;
-  int boots_ = 0;
-  double served_ = 0, queued_ = 0;  // served_: work that each running one has got so far
-  std::multimap<double, Job> running_;
+  bool up_ = false, collapsed_ = false;
+  std::optional<script::TroubleKind> fault_;
+  double fault_size_ = 1;
+  Instant booted_at_, warm_at_, fault_started_, advanced_to_;
+  int boot_count_ = 0;
+  double attained_service_ = 0, queued_work_ = 0;  // attained_service_: work done for each running job so far
+  std::multimap<double, Job> running_;             // by the attained service at which the job is done
   std::deque<Job> queue_;
   std::vector<Counts> counts_;
   std::size_t operations_;
-  double busy_ = 0, told_util_ = 1;
-  std::deque<std::pair<Instant, double>> busy_log_, brought_;
-  double brought_sum_ = 0, worst_brought_ = 0;
+  double busy_core_seconds_ = 0, reported_util_factor_ = 1;
+  std::deque<std::pair<Instant, double>> busy_samples_, recent_cold_work_;
+  double recent_cold_work_sum_ = 0, peak_cold_load_ = 0;
 };
 
 }  // namespace gorsemount::lab
