--- a/src/app/simulate.cpp
+++ b/src/app/simulate.cpp
@@ -74,7 +74,7 @@
   const script::Day day = faults.empty() ? script::read_day(text, o.day, findings) : script::Day{};
   faults.insert(faults.end(), findings.faults.begin(), findings.faults.end());
   for (const auto& f : faults) std::fprintf(stderr, "%s\n", f.text().c_str());
-  if (!faults.empty()) return kBadSettings;
+  if (!faults.empty()) return kExitInvalidConfig;
   const std::map<std::string, lab::DecisionMakerKind> deciders{
       {"module", lab::DecisionMakerKind::policy},
       {"equal", lab::DecisionMakerKind::fixed_weights},
@@ -87,7 +87,7 @@
       static_cast<void>(lab::settings_for(day, n, "", changes));  // faults now
   } catch (const std::exception& fault) {
     std::fprintf(stderr, "gorsemount: %s\n", fault.what());
-    return kBadSettings;
+    return kExitInvalidConfig;
   }
   std::vector<std::optional<lab::Outcome>> outcomes(static_cast<std::size_t>(o.seeds));
   std::atomic<std::size_t> next = 0;
@@ -200,7 +200,7 @@
   row("work moved from zone to zone, times all of it", moved, "by forwarders' tables");
   std::printf("%s", back_after(day, outcomes).c_str());
   std::printf("  runs with a broken rule: %llu\n", static_cast<unsigned long long>(broken));
-  return broken == 0 ? kWell : kRuleBroken;
+  return broken == 0 ? kExitSuccess : kExitRuleViolated;
 }
 
 }  // namespace gorsemount::app
