--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -52,8 +52,8 @@
   front.negative_ttl = static_cast<std::uint32_t>(settings.dns.negative_for.seconds());
   front.udp_size = static_cast<std::uint16_t>(settings.dns.additional_most);
   for (const auto& operation : settings.core.operations) front.operations.push_back(operation.name);
-  front.lines_most = static_cast<std::size_t>(settings.core.lines_most);
-  front.addresses_most = static_cast<std::size_t>(settings.core.addresses_most);
+  front.max_srv_records = static_cast<std::size_t>(settings.core.lines_most);
+  front.max_addresses = static_cast<std::size_t>(settings.core.addresses_most);
   return front;
 }
 
--- a/src/app/simulate.cpp
+++ b/src/app/simulate.cpp
@@ -102,10 +102,10 @@
     for (std::size_t index = next++; index < outcomes.size(); index = next++) {
       lab::SimulationSettings settings;
       settings.seed = options.first_seed + index, settings.random_faults = options.fault_count,
-      settings.fences = options.fencing, settings.keeps = options.durable;
-      settings.decision_maker = deciders.at(options.decision_maker);
+      settings.fencing = options.fencing, settings.keep_store = options.durable;
+      settings.decision_maker = deciders.at(options.decider);
       settings.settings = [&](std::size_t number) { return lab::settings_for(day, number, "", changes); };
-      settings.drift = options.fault_count > 0 ? 0.01 : 0;
+      settings.clock_drift = options.fault_count > 0 ? 0.01 : 0;
       outcomes[index] = lab::Simulation{day, std::move(settings)}.run();
       const std::lock_guard lock{printing};
       for (const auto& rule : outcomes[index]->broken_rules(day))
@@ -126,11 +126,11 @@
   for (const auto& outcome : outcomes) {
     service.push_back(outcome->whole.service()), worst.push_back(outcome->worst_ten_seconds());
     leaderless.insert(leaderless.end(), outcome->leaderless_times.begin(), outcome->leaderless_times.end());
-    unserved = std::max(unserved, outcome->bare),
+    unserved = std::max(unserved, outcome->longest_unserved),
     drain_overrun = std::max(drain_overrun, outcome->longest_send_after_drain),
     cold_load = std::max(cold_load, outcome->worst_cold_overload);
-    waiting = std::max(waiting, outcome->waiting), broken += outcome->broken_rules(day).empty() ? 0 : 1,
-    stale_orders += outcome->stale_terms_accepted;
+    waiting = std::max(waiting, outcome->most_waiting_lines),
+    broken += outcome->broken_rules(day).empty() ? 0 : 1, stale_orders += outcome->stale_terms_accepted;
     refused_terms += outcome->stale_terms_rejected, takeovers += outcome->takeovers,
         partial_changes += outcome->partial_batches, cluster_bytes += outcome->cluster_bytes;
     tries += outcome->tries, crossings += outcome->cross_zone_tries, further_tries += outcome->retries;
@@ -211,7 +211,7 @@
         fmt::format("{} controllers", day.coordinators.size()));
   }
   double moved = 0;
-  for (const auto& outcome : outcomes) moved += outcome->moved / static_cast<double>(outcomes.size());
+  for (const auto& outcome : outcomes) moved += outcome->moved_load / static_cast<double>(outcomes.size());
   row("work moved from zone to zone, times all of it", moved, "by forwarders' tables");
   std::printf("%s", recovery_report(day, outcomes).c_str());
   std::printf("  runs with a broken rule: %llu\n", static_cast<unsigned long long>(broken));
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -130,7 +130,7 @@
     needs_resync_ = true;
     end_call(call, reason);
   };
-  if (!call.response.fault().empty()) return resync("invalid HTTP response: " + call.response.fault());
+  if (!call.response.error().empty()) return resync("invalid HTTP response: " + call.response.error());
   if (call.response.status() == 0) return;
   if (call.response.status() != 200)
     return end_call(call, "status " + std::to_string(call.response.status()));
