--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -25,7 +25,7 @@
 #include "record/recorder.hpp"
 #include "recovery/fact_confidence.hpp"
 #include "runtime_api/command_server.hpp"
-#include "runtime_api/operators.hpp"
+#include "runtime_api/operator_console.hpp"
 #include "shared_fleet/cluster_adapter.hpp"
 #include "store/store_writer.hpp"
 
@@ -179,7 +179,7 @@
 
   void log_event(bool warning, const std::string& event, const log::Fields& fields) {
     log_.event(warning ? log::Level::warning : log::Level::info, event, fields);
-    if (warning && operators_) operators_->remember(event, fields);
+    if (warning && operators_) operators_->record_warning(event, fields);
   }
 
   // Loads the facts stored by an earlier process that are still trusted. Errors are logged and don't stop
@@ -262,7 +262,7 @@
       operators_.emplace(
           core_, [this](const coordinator::OperatorCommand& command) { return execute_command(command); },
           [this] { return driver_.status(); }, token);
-      operators_->at_work([this] { return task_rows(); });
+      operators_->set_task_source([this] { return task_rows(); });
       const auto serve = [this](std::unique_ptr<runtime_api::CommandServer>& server, bool trusted) {
         // One server per socket, so that only peers of the UNIX socket are trusted without a token.
         server = std::make_unique<runtime_api::CommandServer>(
@@ -271,7 +271,7 @@
               return operators_->handle(peer, trusted, command);
             },
             runtime_api::CommandServer::Limits{});
-        server->on_gone([this](std::uint64_t peer) { operators_->gone(peer); });
+        server->on_disconnect([this](std::uint64_t peer) { operators_->disconnected(peer); });
       };
       if (!settings_.runtime.socket.empty())
         serve(unix_server_, true),
@@ -284,8 +284,8 @@
     }
   }
 
-  [[nodiscard]] runtime_api::Operators::Rows task_rows() const {
-    runtime_api::Operators::Rows rows;
+  [[nodiscard]] runtime_api::OperatorConsole::Rows task_rows() const {
+    runtime_api::OperatorConsole::Rows rows;
     const auto ms = [](Span span) { return fmt::format("{:.2f}", 1000 * span.seconds()); };
     for (const auto& task : background_->counters())
       rows.push_back({{"task", task.name},
@@ -348,13 +348,14 @@
                  {{"member", cluster_settings.member},
                   {"members", std::to_string(cluster_settings.members.size())}});
       if (operators_)
-        operators_->in_cluster([this] { return cluster_rows(); },
-                               [this] {
-                                 const auto n = cluster_->hand_over_all(net::monotonic_now());
-                                 tick_cluster();
-                                 log_.event(log::Level::info, "handed_over", {{"shards", std::to_string(n)}});
-                                 return std::string{};
-                               });
+        operators_->set_cluster_source(
+            [this] { return cluster_rows(); },
+            [this] {
+              const auto n = cluster_->hand_over_all(net::monotonic_now());
+              tick_cluster();
+              log_.event(log::Level::info, "handed_over", {{"shards", std::to_string(n)}});
+              return std::string{};
+            });
       tick_cluster();
       exchange_cluster_facts();
       return true;
@@ -364,9 +365,9 @@
     }
   }
 
-  [[nodiscard]] runtime_api::Operators::Rows cluster_rows() const {
+  [[nodiscard]] runtime_api::OperatorConsole::Rows cluster_rows() const {
     constexpr const char* state_names[] = {"alive", "suspected", "gone"};
-    runtime_api::Operators::Rows rows;
+    runtime_api::OperatorConsole::Rows rows;
     for (std::size_t index = 0; index < settings_.cluster.members.size(); ++index) {
       const auto& [name, at] = settings_.cluster.members[index];
       const auto state = cluster_->state_of({static_cast<std::uint16_t>(index)});
@@ -405,7 +406,7 @@
                    {{"forwarder",
                      settings_.core.forwarders[lead.forwarder.value - coordinator::kFirstForwarderId].name},
                     {"term", std::to_string((lead.now ? lead.now : lead.before)->value)}});
-      driver_.lead(lead.forwarder, lead.now ? std::optional{lead.now->value} : std::nullopt);
+      driver_.set_term(lead.forwarder, lead.now ? std::optional{lead.now->value} : std::nullopt);
     }
   }
 
@@ -548,7 +549,7 @@
   std::optional<store::StoreWriter> store_writer_;
   net::Loop::Timer cluster_timer_;
   runtime_api::Driver driver_;
-  std::optional<runtime_api::Operators> operators_;
+  std::optional<runtime_api::OperatorConsole> operators_;
   std::unique_ptr<runtime_api::CommandServer> unix_server_, tcp_server_;
   net::Loop::Timer step_timer_;
   bool step_scheduled_ = false, stopping_ = false;
--- a/src/lab/simulation/simulation.cpp
+++ b/src/lab/simulation/simulation.cpp
@@ -117,7 +117,7 @@
   std::mt19937 request_rng;  // separate, so that the requests don't depend on the replies
   std::vector<std::vector<WeightedWorker>> picks;  // by operation
   // Forwarders only:
-  forwarders::Held held;
+  forwarders::ActualTable held;
   std::uint64_t highest_term = 0;
   std::vector<Instant> ejected_until;
   std::vector<std::uint8_t> consecutive_failures;
@@ -356,7 +356,7 @@
     for (const auto& line : configured_roster)
       if (zone_index(line.zone) == proxy.zone && n++ < 4)
         for (const auto& operation : day.operations)
-          proxy.held.lines[{operation.name, line.name}] = {line.at, 100, forwarders::State::ready};
+          proxy.held.lines[{operation.name, line.name}] = {line.at, 100, forwarders::ServerState::ready};
     apply_table(proxy);
   }
   void apply_table(Proxy& proxy) {
@@ -368,9 +368,9 @@
       double cumulative_weight = 0;
       for (auto it = proxy.held.lines.lower_bound({operation, ""});
            it != proxy.held.lines.end() && it->first.first == operation; ++it)
-        if (it->second.picked() > 0)
+        if (it->second.effective_weight() > 0)
           if (const auto worker = worker_by_name.find(it->first.second); worker != worker_by_name.end())
-            proxy.picks[k].push_back({worker->second, cumulative_weight += it->second.picked()});
+            proxy.picks[k].push_back({worker->second, cumulative_weight += it->second.effective_weight()});
       const auto value = [&](const char* prefix, int otherwise) {
         const auto it = proxy.held.values.find(prefix + operation);
         return it == proxy.held.values.end() ? otherwise : it->second;
@@ -605,8 +605,8 @@
     outcome.takeovers += stream.taken_over ? 1 : 0;
     std::map<std::string, double> weights;
     for (const auto& [key, line] : proxy.held.lines)
-      if (line.picked() > 0)
-        weights[key.second] = std::max(weights[key.second], static_cast<double>(line.picked()));
+      if (line.effective_weight() > 0)
+        weights[key.second] = std::max(weights[key.second], static_cast<double>(line.effective_weight()));
     add_input(process, coordinator::ForwarderJoined{proxy_id(process, forwarder), stream.taken_over,
                                                     std::move(weights)});
   }
@@ -1688,7 +1688,7 @@
   std::map<std::uint32_t, std::uint64_t> highest_applied_term;  // by forwarder
   std::map<std::uint32_t, Instant> led_since;
   std::shared_ptr<const coordinator::DesiredTable> planned_table;
-  forwarders::Held planned_from;
+  forwarders::ActualTable planned_from;
   std::vector<forwarders::Change> planned_changes;
   std::set<std::pair<std::size_t, std::size_t>> cut_zone_links, cut_process_links, slow_process_links;
   std::map<std::pair<std::size_t, std::size_t>, Span> slow_zone_links;
