--- a/src/app/day.cpp
+++ b/src/app/day.cpp
@@ -98,7 +98,7 @@
     std::ofstream{folder_ + "/roster.hcl"} << standins::roster_text(standins::roster_of(day_, places_));
     for (std::size_t number = 1; number <= day_.coordinators.size(); ++number) {
       std::string text = standins::coordinator_settings(day_, places_, number, folder_);
-      for (const auto& change : changes) text = lab::put(std::move(text), change);
+      for (const auto& change : changes) text = lab::apply_override(std::move(text), change);
       std::ofstream{settings_file(number)} << text;
     }
     if (day_.shared)
--- a/src/app/record.cpp
+++ b/src/app/record.cpp
@@ -14,7 +14,7 @@
 #include "config/settings.hpp"
 #include "lab/replay/compare.hpp"
 #include "lab/replay/fit.hpp"
-#include "lab/replay/same.hpp"
+#include "lab/replay/step_replay.hpp"
 #include "lab/replay/windows.hpp"
 #include "record/tools.hpp"
 #include "standins/records.hpp"
@@ -159,7 +159,7 @@
       throw std::runtime_error{"--page and --out apply to whole days and can't be combined with --window"};
     const bool scripted = options.day.ends_with(".hcl");
     record::Recording recording;
-    lab::Fitted fitted;
+    lab::FittedDay fitted;
     if (scripted) {
       config::Findings findings;
       fitted.day = script::read_day(read_text(options.day), options.day, findings);
@@ -168,7 +168,7 @@
     } else {
       recording = record::read(options.day);
       if (options.check_determinism) {
-        const auto comparison = lab::same_orders(recording);
+        const auto comparison = lab::replay_steps(recording);
         std::printf("%zu of %zu steps gave identical orders\n",
                     comparison.compared - (comparison.difference.empty() ? 0 : 1), recording.steps.size());
         if (!comparison.stopped.empty()) std::printf("  stopped early: %s\n", comparison.stopped.c_str());
@@ -177,12 +177,12 @@
       }
       fitted = lab::fit(recording);
     }
-    if (options.thinning_factor > 1) fitted.day = lab::thinned(fitted.day, options.thinning_factor);
+    if (options.thinning_factor > 1) fitted.day = lab::scaled_down(fitted.day, options.thinning_factor);
     for (const auto& estimate : fitted.estimates)
       std::printf("%s\n", fmt::format("  estimated: {} {:.4g}, likely {:.4g} to {:.4g} ({})", estimate.what,
                                       estimate.value, estimate.low, estimate.high, estimate.how)
                               .c_str());
-    for (const auto& unknown : fitted.unknown) std::printf("  not recorded: %s\n", unknown.c_str());
+    for (const auto& unknown : fitted.assumptions) std::printf("  not recorded: %s\n", unknown.c_str());
     std::vector<lab::Variant> variants{{"as recorded", "", {}}};
     if (!options.config.empty()) variants[0] = {"A " + options.config[0], read_text(options.config[0]), {}};
     for (std::size_t index = 1; index < options.config.size(); ++index)
@@ -207,7 +207,7 @@
     world.list_completions = !recording.invocations.empty() || !options.output_file.empty();
     std::string warning;
     if (!recording.invocations.empty()) {
-      const auto played = lab::play(fitted.day, {variants.front()}, 1, 1, world, [](double) {});
+      const auto played = lab::run_variants(fitted.day, {variants.front()}, 1, 1, world, [](double) {});
       const auto calibration = lab::calibrate(recording, fitted.day, played[0].outcomes[0]);
       std::printf(
           "%s\n",
@@ -229,19 +229,19 @@
     world.list_completions = !options.output_file.empty();
     if (!options.window.empty()) {
       const auto played =
-          lab::play_windows(fitted.day, variants,
-                            {parse_duration("--window", options.window),
-                             parse_duration("--warm", options.warmup), options.fraction, options.first_seed},
-                            options.jobs, world, progress);
-      std::printf("%s", lab::table(fitted.day, played).c_str());
+          lab::run_windows(fitted.day, variants,
+                           {parse_duration("--window", options.window),
+                            parse_duration("--warm", options.warmup), options.fraction, options.first_seed},
+                           options.jobs, world, progress);
+      std::printf("%s", lab::text_report(fitted.day, played).c_str());
       if (!warning.empty()) std::printf("  %s\n", warning.c_str());
       return std::any_of(played.variants.begin(), played.variants.end(),
                          [](const auto& variant) { return !variant.broken.empty(); })
                  ? kExitRuleViolated
                  : kExitSuccess;
     }
-    const auto played = lab::play(fitted.day, variants, options.seeds, options.jobs, world, progress);
-    std::printf("%s", lab::table(fitted.day, played).c_str());
+    const auto played = lab::run_variants(fitted.day, variants, options.seeds, options.jobs, world, progress);
+    std::printf("%s", lab::text_report(fitted.day, played).c_str());
     if (!options.sweep.empty())
       for (std::size_t index = 1; index < played.size(); ++index)
         std::printf(
@@ -251,7 +251,8 @@
                 std::string(static_cast<std::size_t>(std::max(0.0, 60 * played[index].whole.service())), '#'))
                 .c_str());
     if (!warning.empty()) std::printf("  %s\n", warning.c_str());
-    if (!options.html_file.empty()) write_file(options.html_file, lab::page(fitted.day, played, warning));
+    if (!options.html_file.empty())
+      write_file(options.html_file, lab::html_report(fitted.day, played, warning));
     if (!options.output_file.empty())
       record::write(lab::recording_of(fitted.day, scripted ? read_text(options.day) : recording.header.day,
                                       played[0].outcomes[0]),
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -50,7 +50,7 @@
   front.nameservers = settings.dns.nameservers;
   front.address = settings.listen.address;
   front.negative_ttl = static_cast<std::uint32_t>(settings.dns.negative_for.seconds());
-  front.udp_size = static_cast<std::uint16_t>(settings.dns.additional_most);
+  front.udp_size = static_cast<std::uint16_t>(settings.dns.max_udp_size);
   for (const auto& operation : settings.core.operations) front.operations.push_back(operation.name);
   front.max_srv_records = static_cast<std::size_t>(settings.core.lines_most);
   front.max_addresses = static_cast<std::size_t>(settings.core.addresses_most);
@@ -235,11 +235,12 @@
                               std::chrono::system_clock::now().time_since_epoch())
                               .count();
       // Called from a background thread, so the log must be thread-safe.
-      recorder_.emplace(*background_,
-                        record::RecorderSettings{settings_.recording_file, settings_.recording_most, 4096},
-                        std::move(header), Instant{}, [this](const std::string& why) {
-                          log_.event(log::Level::warning, "recording_stopped", {{"why", why}});
-                        });
+      recorder_.emplace(
+          *background_,
+          record::RecorderSettings{settings_.recording_file, settings_.recording_size_limit, 4096},
+          std::move(header), Instant{}, [this](const std::string& why) {
+            log_.event(log::Level::warning, "recording_stopped", {{"why", why}});
+          });
       return true;
     } catch (const std::exception& error) {
       log_.event(log::Level::error, "cannot_record", {{"why", error.what()}});
@@ -458,7 +459,7 @@
   }
 
   void watch_roster() {
-    roster_task_ = background_->add({"roster", 1, settings_.roster_every, 0, 1}, [this] {
+    roster_task_ = background_->add({"roster", 1, settings_.roster_check_interval, 0, 1}, [this] {
       auto result = roster_.poll();
       const std::size_t n = result.entries ? result.entries->size() : 0;
       // An unchanged file doesn't wake the loop.
@@ -482,7 +483,7 @@
       return;
     }
     // Some settings can't change while the policy runs: their changes are logged and ignored.
-    if (config::fixed_part(new_settings) != config::fixed_part(settings_))
+    if (config::non_reloadable_settings(new_settings) != config::non_reloadable_settings(settings_))
       log_.event(log::Level::warning, "reload_partial",
                  {{"why",
                    "changes to zones, operations, rules, channel, dns names and listen need a restart and "
@@ -498,7 +499,8 @@
       }
     }
     log_.set_level(new_settings.log_level);
-    settings_.roster_file = new_settings.roster_file, settings_.roster_every = new_settings.roster_every;
+    settings_.roster_file = new_settings.roster_file,
+    settings_.roster_check_interval = new_settings.roster_check_interval;
     settings_.core.groups = new_settings.core.groups,
     settings_.core.trusted_resolvers = new_settings.core.trusted_resolvers;
     settings_.core.lifetime_most = new_settings.core.lifetime_most,
--- a/tests/lab/zone_drain_test.cpp
+++ b/tests/lab/zone_drain_test.cpp
@@ -33,7 +33,7 @@
   drain_order.order.action = coordinator::OperatorCommand::Action::drain_zone,
   drain_order.order.name = "ubungo";
   day.persons.push_back(drain_order);
-  const auto played = play(day, {{"as it is", "", {}}}, 2, 1, {}, [](double) {});
+  const auto played = run_variants(day, {{"as it is", "", {}}}, 2, 1, {}, [](double) {});
   const Tally& tally = played[0].whole;
   EXPECT_GT(static_cast<double>(tally.rate_limited), 0.1 * static_cast<double>(tally.invocations));
   EXPECT_GT(tally.service(), 0.5);
