--- a/src/forwarders/counters.cpp
+++ b/src/forwarders/counters.cpp
@@ -4,40 +4,42 @@
 
 namespace gorsemount::forwarders {
 
-Counters::Told Counters::read(const Reading& reading) {
-  Told told;
-  for (const auto& [key, now] : reading.servers)
-    if (now.errored > now.tries) told.impossible = true;
-  if (told.impossible) return told;
+CounterTracker::Delta CounterTracker::update(const CounterSnapshot& snapshot) {
+  Delta delta;
+  for (const auto& [key, current] : snapshot.servers)
+    if (current.errored > current.tries) delta.inconsistent = true;
+  if (delta.inconsistent) return delta;
   if (last_) {
-    for (const auto& [key, now] : reading.servers) {
-      const auto was = last_->servers.find(key);
-      if (was == last_->servers.end()) {
-        told.since.servers[key] = now;  // a line that was added since: all of its count is news
+    for (const auto& [key, current] : snapshot.servers) {
+      const auto previous = last_->servers.find(key);
+      if (previous == last_->servers.end()) {
+        delta.counts.servers[key] = current;  // added since the last snapshot, so the whole count is new
         continue;
       }
-      if (now.tries < was->second.tries || now.errored < was->second.errored) told.restarted = true;
-      // What errored now may have been tried before the last reading: a try counts when it is known how it
-      // ended.
-      const std::uint64_t errored = now.errored - was->second.errored;
-      told.since.servers[key] = {std::max(now.tries - was->second.tries, errored), errored, now.mean_latency};
+      if (current.tries < previous->second.tries || current.errored < previous->second.errored)
+        delta.restarted = true;
+      // A try may start before the last snapshot and end in an error after it. It counts when its outcome is
+      // known, so there are never fewer tries than errors.
+      const std::uint64_t errored = current.errored - previous->second.errored;
+      delta.counts.servers[key] = {std::max(current.tries - previous->second.tries, errored), errored,
+                                   current.mean_latency};
     }
-    for (const auto& [operation, now] : reading.arrived) {
-      const auto was = last_->arrived.find(operation);
-      const std::uint64_t before = was == last_->arrived.end() ? 0 : was->second;
-      if (now < before) told.restarted = true;
-      told.since.arrived[operation] = now - before;
+    for (const auto& [operation, current] : snapshot.arrivals) {
+      const auto previous = last_->arrivals.find(operation);
+      const std::uint64_t before = previous == last_->arrivals.end() ? 0 : previous->second;
+      if (current < before) delta.restarted = true;
+      delta.counts.arrivals[operation] = current - before;
     }
-    for (const auto& [operation, now] : reading.further) {
-      const auto was = last_->further.find(operation);
-      const std::uint64_t before = was == last_->further.end() ? 0 : was->second;
-      if (now < before) told.restarted = true;
-      told.since.further[operation] = now - before;
+    for (const auto& [operation, current] : snapshot.retries) {
+      const auto previous = last_->retries.find(operation);
+      const std::uint64_t before = previous == last_->retries.end() ? 0 : previous->second;
+      if (current < before) delta.restarted = true;
+      delta.counts.retries[operation] = current - before;
     }
-    if (told.restarted) told.since = {};
+    if (delta.restarted) delta.counts = {};
   }
-  last_ = reading;
-  return told;
+  last_ = snapshot;
+  return delta;
 }
 
 }  // namespace gorsemount::forwarders
--- a/src/forwarders/counters.hpp
+++ b/src/forwarders/counters.hpp
@@ -1,5 +1,5 @@
-// Decides what a forwarder's counters say since they were last read: differences as evidence, a restart where
-// they jumped back, nothing where they can't be.
+// Turns the cumulative counters of a forwarder into differences since the last snapshot, and detects restarts
+// and inconsistent counters.
 #pragma once
 
 #include <cstdint>
@@ -12,29 +12,29 @@
 
 namespace gorsemount::forwarders {
 
-struct ServerCount {
+struct ServerCounters {
   std::uint64_t tries = 0, errored = 0;
   Span mean_latency;
 };
-struct Reading {
-  std::map<std::pair<std::string, std::string>, ServerCount> servers;  // by operation, by worker
-  std::map<std::string, std::uint64_t> arrived;                        // by operation
-  std::map<std::string, std::uint64_t> further;                        // by operation: tries beyond the first
+struct CounterSnapshot {
+  std::map<std::pair<std::string, std::string>, ServerCounters> servers;  // by operation and worker
+  std::map<std::string, std::uint64_t> arrivals;                          // by operation
+  std::map<std::string, std::uint64_t> retries;                           // by operation
 };
 
-class Counters {
+class CounterTracker {
  public:
-  struct Told {
+  struct Delta {
     bool restarted = false;
-    bool impossible = false;  // more errored than tried in all: nothing of it is told
-    Reading since;            // differences
+    bool inconsistent = false;  // a server has more errored than tries; the snapshot is ignored
+    CounterSnapshot counts;     // differences to the last snapshot
   };
-  // The first reading, and one after a restart, tell nothing: what was counted before is no news.
-  [[nodiscard]] Told read(const Reading& reading);
-  void forget() { last_.reset(); }
+  // The first snapshot, and the first after a restart, only set the baseline and yield no counts.
+  [[nodiscard]] Delta update(const CounterSnapshot& snapshot);
+  void reset() { last_.reset(); }
 
  private:
-  std::optional<Reading> last_;
+  std::optional<CounterSnapshot> last_;
 };
 
 }  // namespace gorsemount::forwarders
--- a/src/forwarders/plan.hpp
+++ b/src/forwarders/plan.hpp
@@ -1,5 +1,5 @@
-// Decides how a forwarder gets from what it holds to what it is to hold: whole weights from real ones, and
-// the order of changes, which is safe at every prefix. Free of I/O and of any protocol's words.
+// Plans how a forwarder gets from its actual table to the desired one: integer weights, and an ordered list
+// of changes that is safe at every prefix. Does no I/O and knows no wire protocol.
 #pragma once
 
 #include <map>
@@ -11,7 +11,7 @@
 
 namespace gorsemount::forwarders {
 
-inline constexpr int kMaxWeight = 256;  // of a forwarder's line
+inline constexpr int kMaxWeight = 256;
 
 enum class ServerState { ready, drain, maint };
 
@@ -20,41 +20,43 @@
   int weight = 0;
   ServerState state = ServerState::ready;
   bool operator==(const ActualLine&) const = default;
-  // What it counts for when a worker is picked.
+  // The weight with which the forwarder selects the worker: 0 unless the line is ready.
   [[nodiscard]] int effective_weight() const { return state == ServerState::ready ? weight : 0; }
 };
 struct ActualTable {
-  std::map<std::pair<std::string, std::string>, ActualLine> lines;  // by operation, by worker
-  std::map<std::string, int> variables;                             // levels, tries and rates, by name
+  std::map<std::pair<std::string, std::string>, ActualLine> lines;  // by operation and worker
+  std::map<std::string, int> variables;  // admission levels, tries and rate limits, by variable name
   bool operator==(const ActualTable&) const = default;
 };
 
 struct Change {
-  enum class What { add, weight, state, address, remove, value } what = What::weight;
-  std::string operation, worker;  // of a value: its name in `worker`
-  int number = 0;                 // a weight, or a value
+  enum class Kind { add, weight, state, address, remove, variable } kind = Kind::weight;
+  std::string operation, worker;  // for a variable, `worker` holds its name
+  int value = 0;                  // of the weight or the variable
   ServerState state = ServerState::ready;
   Endpoint endpoint;
   bool operator==(const Change&) const = default;
 };
 
-// Whole weights for real ones. The scale is a power of two that brings the heaviest line to over half of the
-// range, so that it moves only when the heaviest line halves or doubles, and a line that did not change keeps
-// its number. A wanted line is never 0; a cold one is rounded down, since more than its part could tip it.
+// Scales real weights to integers. The scale is a power of two that puts the heaviest line above half of
+// kMaxWeight, so it changes only when the heaviest weight halves or doubles, and other lines keep their
+// integers. A desired line gets at least 1. A cold line is rounded down, since extra load could overload it.
 [[nodiscard]] std::vector<int> integer_weights(const std::vector<coordinator::DesiredLine>& lines);
 
-// The changes from `held` to `wanted`, in an order that is safe wherever it is cut off: no line that is to
-// get nothing is ever raised; and, as long as some wanted warm line keeps its address, the forwarder is never
-// left without a worker to pick if it had one, and no cold worker's weight beside the warm ones' ever exceeds
-// both what it was and what it is to be. `with_values`: whether the forwarder can take levels and rates.
-[[nodiscard]] std::vector<Change> plan(const ActualTable& held, const coordinator::DesiredTable& wanted,
-                                       bool with_values);
-
-// What a change does to a forwarder.
-void apply(ActualTable& held, const Change& change);
-
-// The names of an operation's values, and their numbers: parts in thousandths, rates in tenths a second; and
-// `retries`, of all operations together.
-[[nodiscard]] std::map<std::string, int> values_of(const coordinator::DesiredTable& wanted);
+// Returns the changes from `actual` to `desired`. They may be cut off at any point:
+// - no line that is to be removed or drained is ever raised;
+// - as long as some desired warm line keeps its address, a forwarder that had a worker to select always has
+//   one, and the ratio of a cold worker's weight to the warm weight never exceeds both its old and its new
+//   value.
+// `supports_variables`: whether the forwarder accepts admission levels and rate limits.
+[[nodiscard]] std::vector<Change> plan(const ActualTable& actual, const coordinator::DesiredTable& desired,
+                                       bool supports_variables);
+
+// Applies `change` to the model of a forwarder's table.
+void apply(ActualTable& actual, const Change& change);
+
+// Returns the variables of all operations by name: levels in thousandths, rate limits in tenths per second,
+// and `retries`, the retry ratio of all operations together in thousandths.
+[[nodiscard]] std::map<std::string, int> desired_variables(const coordinator::DesiredTable& desired);
 
 }  // namespace gorsemount::forwarders
--- a/src/runtime_api/driver.hpp
+++ b/src/runtime_api/driver.hpp
@@ -1,6 +1,7 @@
-// Drives forwarders by their runtime sockets: a stream each. A new stream learns what its forwarder holds,
-// then sends the difference; a line is in force when the forwarder's answer says so; a read-back finds what
-// drifted. What to change, and in which order, is forwarders::plan's to say.
+// Configures forwarders over their runtime sockets, with one connection each. A new connection reads the
+// forwarder's actual table and then sends the difference to the desired one. A change counts as applied when
+// the forwarder's answer confirms it, and a periodic read detects drift. forwarders::plan decides the changes
+// and their order.
 #pragma once
 
 #include <deque>
@@ -20,14 +21,14 @@
   struct Target {
     ProxyId id;
     std::string name;
-    Endpoint at;
-    std::string path;  // of a UNIX socket, in place of `at`
+    Endpoint endpoint;
+    std::string socket_path;  // of a UNIX socket, instead of `endpoint`
   };
   std::vector<Target> targets;
   std::vector<std::string> operations;
-  bool shared = false;  // nobody is led until set_term() says so
+  bool shared = false;  // no forwarder is managed until set_term() says so
   Span stats_interval, verify_interval, response_timeout, reconnect_delay;
-  std::string leader = {};  // this controller's name, told to forwarders in a shared fleet
+  std::string leader = {};  // this coordinator's name, sent to the forwarders of a shared fleet
 };
 
 struct DriverHooks {
@@ -36,12 +37,12 @@
   std::function<void(bool warning, const std::string& event,
                      std::vector<std::pair<std::string, std::string>>)>
       log;
-  // Asked before each change, since a lease ends by the clock; absent: always.
-  std::function<bool(ProxyId)> may_order;
-  // A version came into force at a forwarder, so long after it was handed over.
-  std::function<void(ProxyId, std::uint64_t version, Span took, std::size_t changes)> in_force;
-  // The term that a forwarder has seen, as it says when a stream begins; absent: it does not matter.
-  std::function<void(ProxyId, std::uint64_t term)> term_seen = {};
+  // Asked before each batch of changes, since a lease may have expired; absent: always allowed.
+  std::function<bool(ProxyId)> may_send_changes;
+  // A forwarder applied a version, `latency` after deliver().
+  std::function<void(ProxyId, std::uint64_t version, Span latency, std::size_t changes)> on_applied;
+  // The highest term that the forwarder has seen, read when a connection opens; may be absent.
+  std::function<void(ProxyId, std::uint64_t term)> on_term_seen = {};
 };
 
 class Driver {
@@ -51,38 +52,38 @@
   Driver(const Driver&) = delete;
   Driver& operator=(const Driver&) = delete;
 
-  // In a shared fleet: with a term the forwarder is led, under it; without one its stream is given up. Alone,
-  // all are led, without terms.
+  // In a shared fleet, connects to the forwarder and manages it under `term`, or disconnects if there is
+  // none. A coordinator without a cluster manages all forwarders without terms.
   void set_term(ProxyId forwarder, std::optional<std::uint64_t> term);
   void deliver(ProxyId forwarder, std::shared_ptr<const coordinator::DesiredTable> table);
 
   struct Status {
     std::string name;
-    bool up = false;
-    std::uint64_t holds = 0, repairs = 0, refusals = 0;
-    std::size_t waiting = 0;  // commands without an answer yet
+    bool synchronized = false;  // connected, and its actual table is known
+    std::uint64_t applied_version = 0, repairs = 0, refusals = 0;
+    std::size_t pending = 0;  // commands without an answer yet
   };
   [[nodiscard]] std::vector<Status> status() const;
 
  private:
-  class Stream;
-  // Forwarders bound to one table mostly hold the same, so their way to the next is worked out once.
-  struct Way {
-    std::shared_ptr<const coordinator::DesiredTable> wanted;
-    forwarders::ActualTable from;
-    bool with_values = true;
+  class Connection;
+  // Forwarders with the same desired table mostly have the same actual table, so their plan is computed once.
+  struct Plan {
+    std::shared_ptr<const coordinator::DesiredTable> desired;
+    forwarders::ActualTable actual;
+    bool supports_variables = true;
     std::vector<forwarders::Change> changes;
     std::string text;
   };
-  [[nodiscard]] std::shared_ptr<const Way> way(const forwarders::ActualTable& from,
-                                               const std::shared_ptr<const coordinator::DesiredTable>& wanted,
-                                               bool with_values);
+  [[nodiscard]] std::shared_ptr<const Plan> plan(
+      const forwarders::ActualTable& actual, const std::shared_ptr<const coordinator::DesiredTable>& desired,
+      bool supports_variables);
 
   net::Loop& loop_;
-  DriverSettings s_;
+  DriverSettings settings_;
   DriverHooks hooks_;
-  std::shared_ptr<const Way> last_, there_;  // the last that was worked out: of some changes, and of none
-  std::map<ProxyId, std::unique_ptr<Stream>> streams_;
+  std::shared_ptr<const Plan> last_plan_, last_empty_plan_;  // cached, with changes and without
+  std::map<ProxyId, std::unique_ptr<Connection>> connections_;
 };
 
 }  // namespace gorsemount::runtime_api
--- a/src/runtime_api/operator_console.cpp
+++ b/src/runtime_api/operator_console.cpp
@@ -15,41 +15,42 @@
 
 namespace {
 
-constexpr std::size_t kErrors = 100;
+constexpr std::size_t kMaxWarnings = 100;
 
-struct Known {
+struct Command {
   const char* usage;
-  const char* what;
+  const char* description;
 };
-constexpr Known kCommands[] = {
-    {"help", "this list"},
+constexpr Command kCommands[] = {
+    {"help", "lists the commands"},
     {"show table [VERSION]",
-     "lines and levels of the tables as ordered; without a version, the newest of each"},
-    {"show zones", "listed and ordered weight by zone"},
-    {"show backend [NAME]", "what is known of a backend, and who says so"},
-    {"show ladder", "backends and zones below their full share"},
-    {"show proxies", "client groups and forwarders: table, versions ordered and held"},
-    {"show channel", "lines waiting, most so far, held back"},
-    {"show errors", "the last warnings"},
-    {"show work", "background tasks: how often, how long at most, how late at most"},
-    {"show cluster", "members, their standing, and who leads which forwarder here"},
-    {"hand-over", "gives what this one leads to the others, at once"},
-    {"set weight NAME W [for SPAN]", "a listed weight, for 10m if not said"},
+     "weights and admission levels of the latest published tables, or of one version"},
+    {"show zones", "listed and assigned weight by zone"},
+    {"show backend [NAME]", "state and weight of one backend or of all"},
+    {"show ladder", "backends below their full share"},
+    {"show proxies", "client groups and forwarders: table, assigned and applied versions"},
+    {"show channel", "backlog of the channel, its peak, and deferred messages"},
+    {"show errors", "the latest warnings"},
+    {"show work", "background tasks: runs, longest run, longest delay"},
+    {"show cluster", "members, their state, and which member manages each forwarder"},
+    {"hand-over", "transfers the forwarders of this coordinator to the others at once"},
+    {"set weight NAME W [for SPAN]", "overrides a listed weight, for 10m by default"},
     {"drain zone ZONE [anyway]",
-     "steps the zone's share down to nothing; anyway: though the others lack room"},
-    {"undrain zone ZONE", "and back in trial steps"},
-    {"disable backend NAME", "no new work for a backend"},
-    {"enable backend NAME", "undoes that"},
-    {"hold", "tables stay as they are, but for what the rules force"},
-    {"release", "undoes that"},
-    {"token TOKEN", "over TCP: says who you are"},
+     "reduces the zone's share to 0 in steps; anyway: even if the other zones lack capacity"},
+    {"undrain zone ZONE", "restores the zone's share in trial steps"},
+    {"disable backend NAME", "sends no new requests to a backend"},
+    {"enable backend NAME", "undoes 'disable backend'"},
+    {"hold", "freezes the tables, except for changes that the safety rules require"},
+    {"release", "undoes 'hold'"},
+    {"token TOKEN", "authenticates a TCP connection"},
     {"prompt", "interactive mode"},
     {"quit", "ends"},
 };
 
-std::string number(double v) { return fmt::format("{:.4g}", v); }
+std::string number(double value) { return fmt::format("{:.4g}", value); }
 
-std::string table_of(const std::vector<std::vector<std::pair<std::string, std::string>>>& rows, bool json) {
+std::string format_rows(const std::vector<std::vector<std::pair<std::string, std::string>>>& rows,
+                        bool json) {
   if (json) {
     auto out = nlohmann::ordered_json::array();
     for (const auto& row : rows) {
@@ -75,7 +76,7 @@
   return out + "\n";
 }
 
-std::optional<Span> span_of(const std::string& text) {
+std::optional<Span> parse_span(const std::string& text) {
   char* end = nullptr;
   const double value = std::strtod(text.c_str(), &end);
   const std::string unit = end;
@@ -86,36 +87,39 @@
 
 }  // namespace
 
-OperatorConsole::OperatorConsole(const coordinator::Coordinator& core,
-                                 std::function<std::string(OperatorCommand)> order,
+OperatorConsole::OperatorConsole(const coordinator::Coordinator& coordinator,
+                                 std::function<std::string(OperatorCommand)> submit,
                                  std::function<std::vector<Driver::Status>()> forwarders, std::string token)
-    : core_{core}, order_{std::move(order)}, forwarders_{std::move(forwarders)}, token_{std::move(token)} {}
+    : coordinator_{coordinator},
+      submit_{std::move(submit)},
+      forwarders_{std::move(forwarders)},
+      token_{std::move(token)} {}
 
 void OperatorConsole::record_warning(const std::string& event,
                                      const std::vector<std::pair<std::string, std::string>>& fields) {
-  std::string said;
-  for (const auto& [key, value] : fields) said += (said.empty() ? "" : " ") + key + "=" + value;
-  errors_.push_back({{"event", event}, {"what", said}});
-  if (errors_.size() > kErrors) errors_.pop_front();
+  std::string text;
+  for (const auto& [key, value] : fields) text += (text.empty() ? "" : " ") + key + "=" + value;
+  warnings_.push_back({{"event", event}, {"what", text}});
+  if (warnings_.size() > kMaxWarnings) warnings_.pop_front();
 }
 
 std::vector<std::string> OperatorConsole::complete(const std::string& start) {
-  std::vector<std::string> fit;
-  for (const auto& c : kCommands)
-    if (std::string_view{c.usage}.substr(0, start.size()) == start) fit.emplace_back(c.usage);
-  return fit;
+  std::vector<std::string> candidates;
+  for (const auto& entry : kCommands)
+    if (std::string_view{entry.usage}.substr(0, start.size()) == start) candidates.emplace_back(entry.usage);
+  return candidates;
 }
 
 std::string OperatorConsole::handle(std::uint64_t peer, bool trusted, const std::string& command) {
   auto words = split_words(command);
   if (words.empty()) return "";
-  // Over TCP nothing is told before the token is right; the comparison takes the same time wherever it
-  // differs.
-  if (!trusted && !known_.contains(peer)) {
-    const bool right = words.size() == 2 && words[0] == "token" && words[1].size() == token_.size() &&
-                       sodium_memcmp(words[1].data(), token_.data(), token_.size()) == 0;
-    if (!right) return "Permission denied: give the token first.\n";
-    known_.insert(peer);
+  // Untrusted peers must authenticate first. The comparison is constant-time, so that its duration does not
+  // reveal how much of the token is right.
+  if (!trusted && !authenticated_peers_.contains(peer)) {
+    const bool authorized = words.size() == 2 && words[0] == "token" && words[1].size() == token_.size() &&
+                            sodium_memcmp(words[1].data(), token_.data(), token_.size()) == 0;
+    if (!authorized) return "Permission denied: give the token first.\n";
+    authenticated_peers_.insert(peer);
     return "";
   }
   const bool json = words.back() == "json";
@@ -123,28 +127,28 @@
   if (words.empty()) return "";
   if (words[0] == "help") {
     std::string out;
-    for (const auto& c : kCommands) out += fmt::format("  {:<32} {}\n", c.usage, c.what);
+    for (const auto& entry : kCommands) out += fmt::format("  {:<32} {}\n", entry.usage, entry.description);
     return out + "  A show command takes 'json' as its last word.\n";
   }
   if (words[0] == "token") return "";
   if (words[0] == "show") return show(words, json);
-  return order(words);
+  return execute(words);
 }
 
 std::string OperatorConsole::show(const std::vector<std::string>& words, bool json) {
-  const std::string what = words.size() > 1 ? words[1] : "";
-  const std::string which = words.size() > 2 ? words[2] : "";
+  const std::string subject = words.size() > 1 ? words[1] : "";
+  const std::string argument = words.size() > 2 ? words[2] : "";
   Rows rows;
-  if (what == "table") {
+  if (subject == "table") {
     std::map<BackendId, std::string> names;
-    for (const auto& b : core_.backends())
-      if (const auto id = core_.backend_id(b.name)) names[*id] = b.name;
-    std::vector<std::pair<TableId, coordinator::TablePtr>> tables{core_.tables().begin(),
-                                                                  core_.tables().end()};
-    if (!which.empty()) {
+    for (const auto& backend : coordinator_.backends())
+      if (const auto id = coordinator_.backend_id(backend.name)) names[*id] = backend.name;
+    std::vector<std::pair<TableId, coordinator::TablePtr>> tables{coordinator_.tables().begin(),
+                                                                  coordinator_.tables().end()};
+    if (!argument.empty()) {
       tables.clear();
-      const auto old = core_.table_version(std::strtoull(which.c_str(), nullptr, 10));
-      if (!old) return fmt::format("No table of version '{}' among the last that were made.\n", which);
+      const auto old = coordinator_.table_version(std::strtoull(argument.c_str(), nullptr, 10));
+      if (!old) return fmt::format("No table of version '{}' among the last that were made.\n", argument);
       tables.emplace_back(old->id, old);
     }
     for (const auto& [id, table] : tables) {
@@ -156,115 +160,118 @@
       for (std::size_t k = 0; k < table->levels.size(); ++k)
         rows.push_back({{"table", std::to_string(id.value)},
                         {"version", std::to_string(table->version)},
-                        {"backend", "level " + core_.settings().operations[k].name},
+                        {"backend", "level " + coordinator_.settings().operations[k].name},
                         {"weight", number(table->levels[k].level)}});
     }
-  } else if (what == "zones") {
+  } else if (subject == "zones") {
     std::map<std::string, std::pair<double, double>> zones;
-    double all = 0;
-    for (const auto& b : core_.backends())
-      zones[b.zone].first += b.listed_weight, zones[b.zone].second += b.weight, all += b.weight;
-    for (const auto& [zone, w] : zones)
+    double total = 0;
+    for (const auto& backend : coordinator_.backends())
+      zones[backend.zone].first += backend.listed_weight, zones[backend.zone].second += backend.weight,
+          total += backend.weight;
+    for (const auto& [zone, weights] : zones)
       rows.push_back({{"zone", zone},
-                      {"listed", number(w.first)},
-                      {"ordered", number(w.second)},
-                      {"part", number(all > 0 ? w.second / all : 0)}});
-  } else if (what == "backend") {
-    for (const auto& b : core_.backends())
-      if (which.empty() || which == b.name)
-        rows.push_back({{"backend", b.name},
-                        {"zone", b.zone},
-                        {"address", b.at.text()},
-                        {"state", b.state},
-                        {"listed", number(b.listed_weight)},
-                        {"ordered", number(b.weight)},
-                        {"cold", b.cold ? "yes" : "no"},
-                        {"refuses", b.refuses_connections ? "yes" : "no"},
-                        {"person", b.operator_override ? "yes" : "no"},
-                        {"doubt", b.sample_fault}});
-    if (rows.empty() && !which.empty()) return fmt::format("No such backend '{}'.\n", which);
-  } else if (what == "ladder") {
-    for (const auto& b : core_.backends())
-      if (b.state == "ready" && b.weight < b.listed_weight * (1 - 1e-9))
-        rows.push_back({{"backend", b.name},
-                        {"zone", b.zone},
-                        {"share", number(b.listed_weight > 0 ? b.weight / b.listed_weight : 0)},
-                        {"cold", b.cold ? "yes" : "no"}});
-  } else if (what == "proxies") {
-    std::map<std::string, Driver::Status> up;
-    for (const auto& s : forwarders_()) up[s.name] = s;
-    for (const auto& p : core_.proxies()) {
-      const auto it = up.find(p.name);
-      rows.push_back({{"proxy", p.name},
-                      {"kind", coordinator::is_forwarder(p.id) ? "forwarder" : "group"},
-                      {"table", p.table ? std::to_string(p.table->value) : "none"},
-                      {"ordered", std::to_string(p.ordered_version)},
-                      {"holds", std::to_string(p.applied_version)},
-                      {"rate", number(p.rate)},
-                      {"repairs", it == up.end() ? "-" : std::to_string(it->second.repairs)},
-                      {"refusals", it == up.end() ? "-" : std::to_string(it->second.refusals)}});
+                      {"listed", number(weights.first)},
+                      {"ordered", number(weights.second)},
+                      {"part", number(total > 0 ? weights.second / total : 0)}});
+  } else if (subject == "backend") {
+    for (const auto& backend : coordinator_.backends())
+      if (argument.empty() || argument == backend.name)
+        rows.push_back({{"backend", backend.name},
+                        {"zone", backend.zone},
+                        {"address", backend.at.text()},
+                        {"state", backend.state},
+                        {"listed", number(backend.listed_weight)},
+                        {"ordered", number(backend.weight)},
+                        {"cold", backend.cold ? "yes" : "no"},
+                        {"refuses", backend.refuses_connections ? "yes" : "no"},
+                        {"person", backend.operator_override ? "yes" : "no"},
+                        {"doubt", backend.sample_fault}});
+    if (rows.empty() && !argument.empty()) return fmt::format("No such backend '{}'.\n", argument);
+  } else if (subject == "ladder") {
+    for (const auto& backend : coordinator_.backends())
+      if (backend.state == "ready" && backend.weight < backend.listed_weight * (1 - 1e-9))
+        rows.push_back(
+            {{"backend", backend.name},
+             {"zone", backend.zone},
+             {"share", number(backend.listed_weight > 0 ? backend.weight / backend.listed_weight : 0)},
+             {"cold", backend.cold ? "yes" : "no"}});
+  } else if (subject == "proxies") {
+    std::map<std::string, Driver::Status> statuses;
+    for (const auto& status : forwarders_()) statuses[status.name] = status;
+    for (const auto& proxy : coordinator_.proxies()) {
+      const auto it = statuses.find(proxy.name);
+      rows.push_back({{"proxy", proxy.name},
+                      {"kind", coordinator::is_forwarder(proxy.id) ? "forwarder" : "group"},
+                      {"table", proxy.table ? std::to_string(proxy.table->value) : "none"},
+                      {"ordered", std::to_string(proxy.ordered_version)},
+                      {"holds", std::to_string(proxy.applied_version)},
+                      {"rate", number(proxy.rate)},
+                      {"repairs", it == statuses.end() ? "-" : std::to_string(it->second.repairs)},
+                      {"refusals", it == statuses.end() ? "-" : std::to_string(it->second.refusals)}});
     }
-  } else if (what == "channel") {
-    const auto c = core_.counters();
-    const auto& s = core_.settings();
-    rows.push_back({{"waiting", number(core_.channel_backlog())},
-                    {"most", number(c.peak_backlog)},
-                    {"backlog", number(s.backlog)},
-                    {"messages", std::to_string(c.messages)},
-                    {"held_back", std::to_string(c.deferred_messages)},
-                    {"hold", core_.decisions_held() ? "yes" : "no"}});
-  } else if (what == "cluster") {
-    if (!cluster_) return "No cluster: this coordinator stands alone.\n";
-    rows = cluster_();
-  } else if (what == "work") {
-    if (work_) rows = work_();
-  } else if (what == "errors") {
-    rows.assign(errors_.begin(), errors_.end());
+  } else if (subject == "channel") {
+    const auto counters = coordinator_.counters();
+    const auto& settings = coordinator_.settings();
+    rows.push_back({{"waiting", number(coordinator_.channel_backlog())},
+                    {"most", number(counters.peak_backlog)},
+                    {"backlog", number(settings.backlog)},
+                    {"messages", std::to_string(counters.messages)},
+                    {"held_back", std::to_string(counters.deferred_messages)},
+                    {"hold", coordinator_.decisions_held() ? "yes" : "no"}});
+  } else if (subject == "cluster") {
+    if (!cluster_source_) return "No cluster: this coordinator stands alone.\n";
+    rows = cluster_source_();
+  } else if (subject == "work") {
+    if (task_source_) rows = task_source_();
+  } else if (subject == "errors") {
+    rows.assign(warnings_.begin(), warnings_.end());
   } else {
-    return fmt::format("Unknown command: 'show {}'. Try 'help'.\n", what);
+    return fmt::format("Unknown command: 'show {}'. Try 'help'.\n", subject);
   }
-  return table_of(rows, json);
+  return format_rows(rows, json);
 }
 
-std::string OperatorConsole::order(const std::vector<std::string>& words) {
+std::string OperatorConsole::execute(const std::vector<std::string>& words) {
   using Action = OperatorCommand::Action;
-  const auto is = [&](std::size_t n, std::initializer_list<const char*> start) {
+  const auto matches = [&](std::size_t n, std::initializer_list<const char*> start) {
     if (words.size() != n) return false;
     std::size_t k = 0;
     for (const char* word : start)
       if (words[k++] != word) return false;
     return true;
   };
-  if (is(1, {"hand-over"})) return hand_over_ ? hand_over_() : "No cluster: this coordinator stands alone.\n";
-  OperatorCommand o;
-  if (is(4, {"set", "weight"}) || (is(6, {"set", "weight"}) && words[4] == "for")) {
+  if (matches(1, {"hand-over"}))
+    return hand_over_ ? hand_over_() : "No cluster: this coordinator stands alone.\n";
+  OperatorCommand command;
+  if (matches(4, {"set", "weight"}) || (matches(6, {"set", "weight"}) && words[4] == "for")) {
     char* end = nullptr;
-    o = {Action::set_weight, words[2], std::strtod(words[3].c_str(), &end), Span::seconds(600), false};
-    if (*end != 0 || !std::isfinite(o.weight)) return fmt::format("'{}' is no weight.\n", words[3]);
+    command = {Action::set_weight, words[2], std::strtod(words[3].c_str(), &end), Span::seconds(600), false};
+    if (*end != 0 || !std::isfinite(command.weight)) return fmt::format("'{}' is no weight.\n", words[3]);
     if (words.size() == 6) {
-      const auto span = span_of(words[5]);
+      const auto span = parse_span(words[5]);
       if (!span)
         return fmt::format("'{}' is no span of time; say 30s, 10m or 2h, a day at most.\n", words[5]);
-      o.lifetime = *span;
+      command.lifetime = *span;
     }
-  } else if (is(3, {"drain", "zone"}) || (is(4, {"drain", "zone"}) && words[3] == "anyway")) {
-    o = {Action::drain_zone, words[2], 0, {}, words.size() == 4};
-  } else if (is(3, {"undrain", "zone"})) {
-    o = {Action::undrain_zone, words[2], 0, {}, false};
-  } else if (is(3, {"disable", "backend"})) {
-    o = {Action::disable, words[2], 0, {}, false};
-  } else if (is(3, {"enable", "backend"})) {
-    o = {Action::enable, words[2], 0, {}, false};
-  } else if (is(1, {"hold"})) {
-    o = {Action::hold, "", 0, {}, false};
-  } else if (is(1, {"release"})) {
-    o = {Action::release, "", 0, {}, false};
+  } else if (matches(3, {"drain", "zone"}) || (matches(4, {"drain", "zone"}) && words[3] == "anyway")) {
+    command = {Action::drain_zone, words[2], 0, {}, words.size() == 4};
+  } else if (matches(3, {"undrain", "zone"})) {
+    command = {Action::undrain_zone, words[2], 0, {}, false};
+  } else if (matches(3, {"disable", "backend"})) {
+    command = {Action::disable, words[2], 0, {}, false};
+  } else if (matches(3, {"enable", "backend"})) {
+    command = {Action::enable, words[2], 0, {}, false};
+  } else if (matches(1, {"hold"})) {
+    command = {Action::hold, "", 0, {}, false};
+  } else if (matches(1, {"release"})) {
+    command = {Action::release, "", 0, {}, false};
   } else {
-    const auto near = complete(words[0]);
-    return near.empty() ? fmt::format("Unknown command: '{}'. Try 'help'.\n", words[0])
-                        : fmt::format("Not understood; the form is '{}'.\n", near[0]);
+    const auto suggestions = complete(words[0]);
+    return suggestions.empty() ? fmt::format("Unknown command: '{}'. Try 'help'.\n", words[0])
+                               : fmt::format("Not understood; the form is '{}'.\n", suggestions[0]);
   }
-  const std::string refusal = order_(o);
+  const std::string refusal = submit_(command);
   return refusal.empty() ? "" : refusal + "\n";
 }
 
--- a/src/runtime_api/operator_console.hpp
+++ b/src/runtime_api/operator_console.hpp
@@ -1,5 +1,5 @@
-// The commands that a person at a terminal has. Shows what is, and hands orders to the core; what may be
-// ordered is the core's to say.
+// Runs the commands of the operators' socket: shows the state of the coordinator and passes operator commands
+// to it. The coordinator decides which commands it accepts.
 #pragma once
 
 #include <deque>
@@ -15,41 +15,43 @@
 
 class OperatorConsole {
  public:
-  // `order` hands an order to the core at once and returns its answer. `forwarders` may be empty.
-  OperatorConsole(const coordinator::Coordinator& core,
-                  std::function<std::string(coordinator::OperatorCommand)> order,
+  // `submit` passes a command to the coordinator and returns the reason of a refusal, or an empty text.
+  // `forwarders` returns the status of the driver's forwarders.
+  OperatorConsole(const coordinator::Coordinator& coordinator,
+                  std::function<std::string(coordinator::OperatorCommand)> submit,
                   std::function<std::vector<Driver::Status>()> forwarders, std::string token);
 
-  // What a shared fleet adds: `show cluster` rows, and `hand-over`. Absent: the coordinator stands alone.
+  // Rows of the `show` commands: columns and their values.
   using Rows = std::vector<std::vector<std::pair<std::string, std::string>>>;
+  // Sets the callbacks of `show cluster` and `hand-over`. Without them, the coordinator has no cluster.
   void set_cluster_source(std::function<Rows()> show, std::function<std::string()> hand_over) {
-    cluster_ = std::move(show), hand_over_ = std::move(hand_over);
+    cluster_source_ = std::move(show), hand_over_ = std::move(hand_over);
   }
 
-  // `show work`: background tasks.
-  void set_task_source(std::function<Rows()> show) { work_ = std::move(show); }
+  // Sets the source of `show work`, the background tasks.
+  void set_task_source(std::function<Rows()> show) { task_source_ = std::move(show); }
 
   [[nodiscard]] std::string handle(std::uint64_t peer, bool trusted, const std::string& command);
-  void disconnected(std::uint64_t peer) { known_.erase(peer); }
-  // Warnings, for `show errors`: the last hundred.
+  void disconnected(std::uint64_t peer) { authenticated_peers_.erase(peer); }
+  // Keeps a warning for `show errors`, up to a limit.
   void record_warning(const std::string& event,
                       const std::vector<std::pair<std::string, std::string>>& fields);
 
-  // Names of commands that begin with `start`; for completion.
+  // Returns the usage texts that begin with `start`, for shell completion.
   [[nodiscard]] static std::vector<std::string> complete(const std::string& start);
 
  private:
   [[nodiscard]] std::string show(const std::vector<std::string>& words, bool json);
-  [[nodiscard]] std::string order(const std::vector<std::string>& words);
+  [[nodiscard]] std::string execute(const std::vector<std::string>& words);
 
-  const coordinator::Coordinator& core_;
-  std::function<std::string(coordinator::OperatorCommand)> order_;
+  const coordinator::Coordinator& coordinator_;
+  std::function<std::string(coordinator::OperatorCommand)> submit_;
   std::function<std::vector<Driver::Status>()> forwarders_;
-  std::function<Rows()> cluster_, work_;
+  std::function<Rows()> cluster_source_, task_source_;
   std::function<std::string()> hand_over_;
   std::string token_;
-  std::set<std::uint64_t> known_;  // peers that gave the token
-  std::deque<std::vector<std::pair<std::string, std::string>>> errors_;
+  std::set<std::uint64_t> authenticated_peers_;  // peers that sent the token
+  std::deque<std::vector<std::pair<std::string, std::string>>> warnings_;
 };
 
 }  // namespace gorsemount::runtime_api
--- a/tests/runtime_api/driver_test.cpp
+++ b/tests/runtime_api/driver_test.cpp
@@ -1,4 +1,5 @@
-// The driver against stand-in forwarders on real sockets, with their faults; the operators' commands.
+// Tests the driver against stand-in forwarders on real sockets with injected faults, and the operator
+// console.
 #include "runtime_api/driver.hpp"
 
 #include <gtest/gtest.h>
@@ -20,22 +21,22 @@
 using standins::TroubleKind;
 
 std::shared_ptr<DesiredTable> table(std::uint64_t version, std::vector<double> weights) {
-  auto t = std::make_shared<DesiredTable>();
-  t->version = version;
-  t->operations.push_back({"read", {}, {}, -1});
+  auto desired = std::make_shared<DesiredTable>();
+  desired->version = version;
+  desired->operations.push_back({"read", {}, {}, -1});
   for (std::size_t k = 0; k < weights.size(); ++k) {
     const std::string name = "w" + std::to_string(k);
-    t->known_backends.push_back(name);
+    desired->known_backends.push_back(name);
     if (weights[k] > 0)
-      t->operations[0].lines.push_back({BackendId{static_cast<std::uint32_t>(k)}, name,
-                                        *Endpoint::parse("127.6.0." + std::to_string(k + 1) + ":9000"),
-                                        weights[k], false});
+      desired->operations[0].lines.push_back({BackendId{static_cast<std::uint32_t>(k)}, name,
+                                              *Endpoint::parse("127.6.0." + std::to_string(k + 1) + ":9000"),
+                                              weights[k], false});
   }
-  return t;
+  return desired;
 }
 
-struct Stage {
-  explicit Stage(std::size_t n) : recorder{file.string()} {
+struct DriverFixture {
+  explicit DriverFixture(std::size_t n) : recorder{file.string()} {
     standins::DayOperation op{"read", "idempotent", 1, {}, Span::seconds(1), Span::seconds(2), 1};
     DriverSettings s;
     for (std::size_t k = 0; k < n; ++k) {
@@ -59,21 +60,22 @@
                       if (std::holds_alternative<coordinator::ForwarderJoined>(i)) ++joined;
                       if (std::holds_alternative<coordinator::ForwarderLeft>(i)) ++left;
                       if (const auto* j = std::get_if<coordinator::ForwarderJoined>(&i);
-                          j != nullptr && wanted)
-                        driver->deliver(j->forwarder, wanted);
+                          j != nullptr && desired)
+                        driver->deliver(j->forwarder, desired);
                     },
                     [](const std::string&) { return BackendId{1}; },
                     [this](bool, const std::string& event,
                            const std::vector<std::pair<std::string, std::string>>& fields) {
                       ++events[event];
-                      for (const auto& [key, value] : fields) said += event + " " + key + "=" + value + "\n";
+                      for (const auto& [key, value] : fields)
+                        log_text += event + " " + key + "=" + value + "\n";
                     },
                     {},
-                    [this](ProxyId id, std::uint64_t version, Span took, std::size_t) {
-                      holds[id] = version, slowest = std::max(slowest, took);
+                    [this](ProxyId id, std::uint64_t version, Span latency, std::size_t) {
+                      applied_versions[id] = version, max_latency = std::max(max_latency, latency);
                     }});
   }
-  ~Stage() {
+  ~DriverFixture() {
     driver.reset();
     forwarders.clear();
     std::filesystem::remove(file);
@@ -82,13 +84,13 @@
     loop.after(Span::seconds(s), [this] { loop.stop(); });
     loop.run();
   }
-  void deliver(std::shared_ptr<DesiredTable> t) {
-    wanted = std::move(t);
+  void deliver(std::shared_ptr<DesiredTable> table) {
+    desired = std::move(table);
     for (std::size_t k = 0; k < forwarders.size(); ++k)
-      driver->deliver(ProxyId{static_cast<std::uint16_t>(30000 + k)}, wanted);
+      driver->deliver(ProxyId{static_cast<std::uint16_t>(30000 + k)}, desired);
   }
-  // What a person at the forwarder's socket would see.
-  forwarders::ActualTable seen(std::size_t k) {
+  // Reads the actual table over a separate connection.
+  forwarders::ActualTable read_table(std::size_t k) {
     std::string text;
     const auto attempt = net::connect(loop, forwarders[k]->settings().runtime, {}, [&](net::Fd fd, int) {
       peer = net::Connection::make(
@@ -97,11 +99,11 @@
       peer->send("show servers state\n");
     });
     run(0.05);
-    const auto read = read_servers_state(text);
+    const auto read = parse_servers_state(text);
     return std::holds_alternative<forwarders::ActualTable>(read) ? std::get<forwarders::ActualTable>(read)
                                                                  : forwarders::ActualTable{};
   }
-  void say(std::size_t k, const std::string& command) {
+  void send_command(std::size_t k, const std::string& command) {
     const auto attempt = net::connect(loop, forwarders[k]->settings().runtime, {}, [&](net::Fd fd, int) {
       peer = net::Connection::make(
           loop, std::move(fd), {1U << 20U, 1U << 20U, Span::seconds(9)},
@@ -111,9 +113,9 @@
     run(0.05);
   }
   int weight(std::size_t k, const std::string& worker) {
-    const auto held = seen(k);
-    const auto it = held.lines.find({"read", worker});
-    return it == held.lines.end() ? -1 : it->second.effective_weight();
+    const auto actual = read_table(k);
+    const auto it = actual.lines.find({"read", worker});
+    return it == actual.lines.end() ? -1 : it->second.effective_weight();
   }
 
   std::filesystem::path file =
@@ -122,23 +124,23 @@
   standins::Recorder recorder;
   std::vector<std::unique_ptr<Forwarder>> forwarders;
   std::shared_ptr<net::Connection> peer;
-  std::shared_ptr<DesiredTable> wanted;
+  std::shared_ptr<DesiredTable> desired;
   std::unique_ptr<Driver> driver;
   std::map<std::string, int> events;
-  std::map<ProxyId, std::uint64_t> holds;
-  std::string said;
-  Span slowest;
+  std::map<ProxyId, std::uint64_t> applied_versions;
+  std::string log_text;
+  Span max_latency;
   int joined = 0, left = 0;
 };
 
-TEST(Driver, LearnsFirstThenSendsTheDifferenceAndConfirms) {
-  Stage s{1};
+TEST(Driver, ReadsTheTableThenSendsTheDifferenceAndConfirms) {
+  DriverFixture s{1};
   s.run(0.1);
   EXPECT_EQ(s.joined, 1);
-  EXPECT_EQ(s.weight(0, "w0"), 100) << "never wiped, nor touched before anything is wanted";
+  EXPECT_EQ(s.weight(0, "w0"), 100) << "unchanged until a table is delivered";
   s.deliver(table(7, {1, 0.5, 0.25}));
   s.run(0.1);
-  EXPECT_EQ((s.holds[ProxyId{30000}]), 7U);
+  EXPECT_EQ((s.applied_versions[ProxyId{30000}]), 7U);
   EXPECT_EQ(s.weight(0, "w0"), 256);
   EXPECT_EQ(s.weight(0, "w1"), 128);
   s.deliver(table(8, {0, 0.5, 0.25}));
@@ -146,7 +148,7 @@
   EXPECT_EQ(s.weight(0, "w0"), 0);
 }
 
-TEST(Driver, LeadsOverAUnixSocketToo) {
+TEST(Driver, WorksOverAUnixSocket) {
   net::Loop loop;
   forwarders::ActualTable seen;
   CommandServer server{loop,
@@ -168,7 +170,7 @@
                    Span::seconds(0.5),
                    Span::seconds(0.1)};
   std::unique_ptr<Driver> driver;
-  std::uint64_t holds = 0;
+  std::uint64_t applied_version = 0;
   driver = std::make_unique<Driver>(
       loop, s,
       DriverHooks{[&](coordinator::Input i) {
@@ -178,27 +180,27 @@
                   [](const std::string&) { return std::nullopt; },
                   [](bool, const std::string&, const auto&) {},
                   {},
-                  [&](ProxyId, std::uint64_t version, Span, std::size_t) { holds = version; }});
+                  [&](ProxyId, std::uint64_t version, Span, std::size_t) { applied_version = version; }});
   loop.after(Span::seconds(0.1), [&] { loop.stop(); });
   loop.run();
-  EXPECT_EQ(holds, 5U);
+  EXPECT_EQ(applied_version, 5U);
 }
 
-TEST(Driver, FindsAndRepairsWhatSomebodyElseChanged) {
-  Stage s{1};
+TEST(Driver, DetectsAndRepairsDrift) {
+  DriverFixture s{1};
   s.deliver(table(1, {1, 1}));
   s.run(0.2);
   s.deliver(table(2, {1, 1}));
   s.run(0.1);
-  s.say(0, "set server read/w1 weight 3");
+  s.send_command(0, "set server read/w1 weight 3");
   s.run(0.3);
   EXPECT_EQ(s.weight(0, "w1"), 256);
   EXPECT_EQ(s.events["forwarder_drifted"], 1);
-  EXPECT_NE(s.said.find("read/w1 has weight 3"), std::string::npos) << s.said;
+  EXPECT_NE(s.log_text.find("read/w1 has weight 3"), std::string::npos) << s.log_text;
 }
 
-TEST(Driver, AForwarderThatRestartsIsLearnedAnewAndLedAgain) {
-  Stage s{1};
+TEST(Driver, ReconfiguresARestartedForwarder) {
+  DriverFixture s{1};
   s.run(0.1);
   s.deliver(table(1, {0, 1, 1}));
   s.run(0.1);
@@ -211,19 +213,19 @@
   EXPECT_EQ(s.weight(0, "w1"), 256);
 }
 
-TEST(Driver, ARestartBetweenReadingAndSettingEndsWithWhatIsWanted) {
-  Stage s{1};
+TEST(Driver, ConvergesWhenALineVanishesBetweenReadAndChange) {
+  DriverFixture s{1};
   s.deliver(table(1, {1, 1, 1, 1}));
   s.run(0.2);
-  // Lines vanish behind the driver's back: the next set is answered 'No such server'.
-  s.say(0, "set server read/w3 state maint; del server read/w3");
+  // The line is deleted over another connection, so the next change is answered 'No such server'.
+  s.send_command(0, "set server read/w3 state maint; del server read/w3");
   s.deliver(table(2, {1, 1, 1, 0.5}));
   s.run(0.8);
   EXPECT_EQ(s.weight(0, "w3"), 128);
 }
 
-TEST(Driver, HalfAnAnswerIsNotTakenForTheWhole) {
-  Stage s{1};
+TEST(Driver, RecoversFromTruncatedAnswers) {
+  DriverFixture s{1};
   s.run(0.1);
   s.deliver(table(1, {1, 1, 1, 1, 1, 1, 1, 1}));
   s.run(0.1);
@@ -235,37 +237,37 @@
   EXPECT_GE(s.left + s.events["forwarder_drifted"], 1);
 }
 
-TEST(Driver, RefusedCommandsAreSaidAndTriedAgain) {
-  Stage s{1};
+TEST(Driver, LogsAndRetriesRefusedCommands) {
+  DriverFixture s{1};
   s.run(0.1);
   s.forwarders[0]->fault(TroubleKind::forwarder_refuse);
   s.deliver(table(1, {1, 1}));
   s.run(0.6);
   EXPECT_GE(s.events["command_refused"], 2);
-  EXPECT_TRUE(s.holds.empty()) << "in force only when the forwarder says so";
+  EXPECT_TRUE(s.applied_versions.empty()) << "applied only when the forwarder confirms it";
   s.forwarders[0]->fault(std::nullopt);
   s.run(0.6);
-  EXPECT_EQ((s.holds[ProxyId{30000}]), 1U);
+  EXPECT_EQ((s.applied_versions[ProxyId{30000}]), 1U);
 }
 
-TEST(Driver, OneThatDoesNotAnswerIsGivenUpAndDelaysNobody) {
-  Stage s{20};
+TEST(Driver, DisconnectsAnUnresponsiveForwarderWithoutDelayingOthers) {
+  DriverFixture s{20};
   s.run(0.2);
   s.forwarders[3]->fault(TroubleKind::forwarder_slow);
   s.deliver(table(1, {1, 1, 1}));
   s.run(0.2);
-  EXPECT_EQ(s.holds.size(), 19U);
-  EXPECT_LT(s.slowest, Span::seconds(0.2));
+  EXPECT_EQ(s.applied_versions.size(), 19U);
+  EXPECT_LT(s.max_latency, Span::seconds(0.2));
   s.run(0.6);
   EXPECT_GE(s.left, 1);
-  EXPECT_NE(s.said.find("no answer in time"), std::string::npos);
+  EXPECT_NE(s.log_text.find("no answer in time"), std::string::npos);
 }
 
-TEST(Driver, LiesAreDoubted) {
-  Stage s{1};
+TEST(Driver, RejectsInconsistentCounters) {
+  DriverFixture s{1};
   s.run(0.1);
-  s.say(0, "show info");
-  // A call that fails makes tries; then it claims fifty errors for each.
+  s.send_command(0, "show info");
+  // A failed request is counted as tries; the fault then reports fifty errors for each.
   const auto attempt = net::connect(s.loop, s.forwarders[0]->settings().listen, {}, [&](net::Fd fd, int) {
     s.peer = net::Connection::make(
         s.loop, std::move(fd), {}, [](std::string_view in) { return in.size(); }, [](const char*) {});
@@ -277,35 +279,35 @@
   EXPECT_GE(s.events["report_doubted"], 1);
 }
 
-// A change cut off at some moment, by breaking the stream: the forwarder always has a worker, and ends as
-// wanted. The property over every prefix of the commands is Plan.IsSafeAtEveryPrefix.
-TEST(Driver, AChangeCutAnywhereEndsWhole) {
-  std::mt19937 chance{3};
-  Stage s{1};
+// The connection breaks during a change: the forwarder always has a worker to select, and reaches the desired
+// table in the end. Plan.IsSafeAtEveryPrefix covers every prefix of the commands.
+TEST(Driver, ConvergesAfterInterruptedChanges) {
+  std::mt19937 random{3};
+  DriverFixture s{1};
   s.run(0.1);
   for (int round = 0; round < 40; ++round) {
     std::vector<double> weights(12);
-    for (auto& w : weights) w = chance() % 3 == 0 ? 0 : 0.05 * (1 + chance() % 20);
-    weights[chance() % 12] = 1;
+    for (auto& w : weights) w = random() % 3 == 0 ? 0 : 0.05 * (1 + random() % 20);
+    weights[random() % 12] = 1;
     s.deliver(table(static_cast<std::uint64_t>(10 + round), weights));
-    s.run(0.0002 * (chance() % 8));
+    s.run(0.0002 * (random() % 8));
     s.forwarders[0]->break_streams();
-    const auto held = s.seen(0);
+    const auto actual = s.read_table(0);
     int picked = 0;
-    for (const auto& [key, line] : held.lines) picked += line.effective_weight();
+    for (const auto& [key, line] : actual.lines) picked += line.effective_weight();
     EXPECT_GT(picked, 0) << "round " << round;
   }
   s.run(0.5);
-  const auto held = s.seen(0);
-  for (const auto& line : s.wanted->operations[0].lines)
-    EXPECT_GT(held.lines.at({"read", line.name}).effective_weight(), 0);
+  const auto actual = s.read_table(0);
+  for (const auto& line : s.desired->operations[0].lines)
+    EXPECT_GT(actual.lines.at({"read", line.name}).effective_weight(), 0);
 }
 
-// Two controllers that both believe to lead: the forwarder obeys the later one. Without its fence the auditor
-// finds the break.
-std::string two_that_believe(bool fences) {
+// Two controllers believe that they manage the forwarder at the same time. With fencing it obeys only the
+// higher term; without fencing the auditor reports the violation.
+std::string audit_two_controllers(bool fencing) {
   const auto folder =
-      std::filesystem::temp_directory_path() / ("fence-" + std::to_string(getpid()) + (fences ? "a" : "b"));
+      std::filesystem::temp_directory_path() / ("fence-" + std::to_string(getpid()) + (fencing ? "a" : "b"));
   std::filesystem::create_directories(folder);
   net::Loop loop;
   {
@@ -321,7 +323,7 @@
                          {op},
                          {{"w0", "a", *Endpoint::parse("127.6.0.1:9000"), 1, false}},
                          false,
-                         fences},
+                         fencing},
                         1};
     const auto make = [&] {
       return std::make_unique<Driver>(loop,
@@ -351,25 +353,24 @@
     run(0.05);
     later->deliver(ProxyId{30000}, table(2, {0.25, 1}));
     run(0.1);
-    older->deliver(ProxyId{30000}, table(3, {1, 0.1}));  // it stood still, and wakes
+    older->deliver(ProxyId{30000}, table(3, {1, 0.1}));  // resumes after a stall, with a stale term
     run(0.4);
   }
   standins::Day day;
   day.shared = true, day.forwarders.resize(1);
-  std::string broken;
+  std::string violations;
   for (const auto& v : standins::audit(day, standins::read_records(folder.string())).verdicts)
-    if (!v.kept) broken += v.rule;
+    if (!v.kept) violations += v.rule;
   std::filesystem::remove_all(folder);
-  return broken;
+  return violations;
 }
 
-TEST(Fence, OfTwoThatBothBelieveTheLaterIsObeyed) {
-  EXPECT_EQ(two_that_believe(true), "");
-  EXPECT_EQ(two_that_believe(false), "terms only grow at a forwarder");
+TEST(Fencing, ForwarderObeysTheHigherTerm) {
+  EXPECT_EQ(audit_two_controllers(true), "");
+  EXPECT_EQ(audit_two_controllers(false), "terms only grow at a forwarder");
 }
 
-// The language's manners on the server's side.
-TEST(CommandServer, OneShotInteractiveJoinedAndPayload) {
+TEST(CommandServer, SupportsOneShotInteractiveJoinedAndPayloadCommands) {
   net::Loop loop;
   std::string payloads;
   CommandServer server{loop,
@@ -380,7 +381,7 @@
                        {4, 200, 100, Span::seconds(5)}};
   const Endpoint at = *Endpoint::parse("127.6.2.1:19998");
   server.listen(at);
-  const auto talk = [&](const std::string& text) {
+  const auto exchange = [&](const std::string& text) {
     std::string got;
     std::shared_ptr<net::Connection> c;
     const auto attempt = net::connect(loop, at, {}, [&](net::Fd fd, int) {
@@ -393,17 +394,17 @@
     loop.run();
     return got;
   };
-  EXPECT_EQ(talk("a; b\n"), "<a>\n\n<b>\n\n|closed");
-  EXPECT_EQ(talk("prompt\na\nb;c\n"), "\n> <a>\n\n> <b>\n<c>\n\n> ");
-  EXPECT_EQ(talk("prompt\na\nquit\n"), "\n> <a>\n\n> |closed");
-  EXPECT_EQ(talk("load <<\nx\ny\n\n"), "<load>\n\n|closed");
+  EXPECT_EQ(exchange("a; b\n"), "<a>\n\n<b>\n\n|closed");
+  EXPECT_EQ(exchange("prompt\na\nb;c\n"), "\n> <a>\n\n> <b>\n<c>\n\n> ");
+  EXPECT_EQ(exchange("prompt\na\nquit\n"), "\n> <a>\n\n> |closed");
+  EXPECT_EQ(exchange("load <<\nx\ny\n\n"), "<load>\n\n|closed");
   EXPECT_EQ(payloads, "x\ny\n");
-  EXPECT_EQ(talk("half a li"), "");
-  EXPECT_EQ(talk(std::string(300, 'x')), "Line too long.\n|closed");
+  EXPECT_EQ(exchange("half a li"), "");
+  EXPECT_EQ(exchange(std::string(300, 'x')), "Line too long.\n|closed");
 }
 
-struct Desk : ::testing::Test {
-  Desk()
+struct OperatorConsoleTest : ::testing::Test {
+  OperatorConsoleTest()
       : operators{rig.core,
                   [this](const coordinator::OperatorCommand& o) {
                     const auto e = rig.step({o});
@@ -417,7 +418,7 @@
   OperatorConsole operators;
 };
 
-TEST_F(Desk, ShowsWhatIs) {
+TEST_F(OperatorConsoleTest, ShowsTheState) {
   EXPECT_NE(ask("show table 1").find("w11"), std::string::npos);
   EXPECT_NE(ask("show backend w3").find("127.0.1.4:9000"), std::string::npos);
   EXPECT_NE(ask("show zones").find("0.3333"), std::string::npos);
@@ -428,7 +429,7 @@
   EXPECT_NE(ask("help").find("drain zone ZONE"), std::string::npos);
 }
 
-TEST_F(Desk, BadInputIsOneLineAndChangesNothing) {
+TEST_F(OperatorConsoleTest, InvalidCommandsGetOneLineAndChangeNothing) {
   for (const char* bad : {"shw zones", "show zons", "show backend w99", "show table 77", "set weight w1",
                           "set weight w1 x", "set weight w1 nan", "set weight w1 -1", "set weight w1 0",
                           "set weight w1 2 for ever", "set weight w99 1", "drain zone nowhere", "drain",
@@ -441,7 +442,7 @@
   for (unsigned k = 0; k < 12; ++k) EXPECT_EQ(rig.weight(0, k), 1);
 }
 
-TEST_F(Desk, AWeightHoldsForItsLifetime) {
+TEST_F(OperatorConsoleTest, AWeightOverrideExpires) {
   EXPECT_EQ(ask("set weight w1 0.5 for 5s"), "");
   rig.seconds(2);
   EXPECT_DOUBLE_EQ(rig.weight(0, 1), 0.5);
@@ -450,7 +451,7 @@
   EXPECT_DOUBLE_EQ(rig.weight(0, 1), 1);
 }
 
-TEST_F(Desk, AZoneIsDrainedInStepsAndComesBackInTrials) {
+TEST_F(OperatorConsoleTest, DrainsAZoneInStepsAndRestoresItInTrials) {
   EXPECT_EQ(ask("drain zone a"), "");
   rig.seconds(1);
   EXPECT_NEAR(rig.weight(0, 0), 2.0 / 3, 1e-6);
@@ -459,7 +460,8 @@
   rig.seconds(2.5);
   EXPECT_EQ(rig.weight(0, 0), 0);
   EXPECT_EQ(ask("drain zone b"), "");
-  EXPECT_NE(ask("drain zone c").find("no ready backend"), std::string::npos) << "the last one is refused";
+  EXPECT_NE(ask("drain zone c").find("no ready backend"), std::string::npos)
+      << "the last zone may not be drained";
   EXPECT_NE(ask("disable backend w99").find("no backend is called"), std::string::npos);
   EXPECT_EQ(ask("undrain zone a"), "");
   rig.seconds(1);
@@ -468,8 +470,8 @@
   EXPECT_NEAR(rig.weight(0, 0), 1, 1e-6);
 }
 
-TEST_F(Desk, APersonsDrainDuringAnAutomaticOne) {
-  for (unsigned k = 0; k < 12; k += 3) rig.workers[k].error_part = 0.9;  // zone a goes bad by itself
+TEST_F(OperatorConsoleTest, AnOperatorDrainOutlastsAnAutomaticOne) {
+  for (unsigned k = 0; k < 12; k += 3) rig.workers[k].error_part = 0.9;  // zone a is drained automatically
   rig.seconds(3);
   EXPECT_EQ(ask("drain zone a"), "");
   rig.seconds(6);
@@ -477,27 +479,27 @@
   for (unsigned k = 0; k < 12; k += 3) rig.workers[k].error_part = 0;
   rig.seconds(20);
   for (unsigned k = 0; k < 12; k += 3)
-    EXPECT_EQ(rig.weight(0, k), 0) << "well again, but a person's order stands";
+    EXPECT_EQ(rig.weight(0, k), 0) << "healthy again, but the operator drain stands";
   EXPECT_EQ(ask("undrain zone a"), "");
   rig.seconds(60);
   EXPECT_GT(rig.weight(0, 0), 0.9);
 }
 
-TEST_F(Desk, HoldFreezesAllButWhatRulesForce) {
+TEST_F(OperatorConsoleTest, HoldFreezesAllButRequiredChanges) {
   EXPECT_EQ(ask("hold"), "");
   rig.workers[1].error_part = 0.9;
   auto roster = rig.roster;
   roster[2].availability = Availability::draining;
   rig.step({coordinator::RosterUpdate{roster}});
   rig.seconds(5);
-  EXPECT_EQ(rig.weight(0, 1), 1) << "a decision, held";
-  EXPECT_EQ(rig.weight(0, 2), 0) << "rule 3";
+  EXPECT_EQ(rig.weight(0, 1), 1) << "decision deferred by hold";
+  EXPECT_EQ(rig.weight(0, 2), 0) << "a draining backend gets no weight even during hold";
   EXPECT_EQ(ask("release"), "");
   rig.seconds(1);
   EXPECT_LT(rig.weight(0, 1), 1);
 }
 
-TEST_F(Desk, OverTcpNothingIsToldBeforeTheToken) {
+TEST_F(OperatorConsoleTest, TcpConnectionsMustAuthenticate) {
   EXPECT_NE(operators.handle(5, false, "show zones").find("denied"), std::string::npos);
   EXPECT_NE(operators.handle(5, false, "token a-secret-of-sixteeN").find("denied"), std::string::npos);
   EXPECT_EQ(operators.handle(5, false, "token a-secret-of-sixteen"), "");
@@ -506,70 +508,71 @@
   EXPECT_NE(operators.handle(5, false, "show zones").find("denied"), std::string::npos);
 }
 
-// One set of inputs, both fronts: the shares are the same, but for the rounding to whole weights.
-TEST(Fronts, PublishTheSameShares) {
+// Forwarders and client groups get the same shares from the same inputs, up to integer rounding.
+TEST(Forwarders, GetTheSameSharesAsGroups) {
   auto s = coordinator::test_settings();
   s.forwarders = {{"f", ZoneId{0}, {}, 20}};
   coordinator::Rig rig{12, s};
-  std::shared_ptr<const DesiredTable> held;
-  const auto play = [&](double length) {
+  std::shared_ptr<const DesiredTable> delivered;
+  const auto run = [&](double length) {
     for (double t = 0; t < length; t += 0.1) {
       rig.seconds(0.1);
       for (const auto& d :
            rig.step({coordinator::ForwarderJoined{ProxyId{coordinator::kFirstForwarderId}}}).deliveries)
-        held = d.table;
-      for (const auto& d : rig.deliveries) held = d.table;
+        delivered = d.table;
+      for (const auto& d : rig.deliveries) delivered = d.table;
       rig.deliveries.clear();
     }
   };
-  play(4);
+  run(4);
   rig.workers[4].down = true, rig.workers[7].error_part = 0.9;
   rig.restart(2, "second");
-  for (int moment = 0; moment < 8; ++moment) {
-    play(1);
-    ASSERT_TRUE(held);
-    const auto numbers = forwarders::integer_weights(held->operations[0].lines);
+  for (int round = 0; round < 8; ++round) {
+    run(1);
+    ASSERT_TRUE(delivered);
+    const auto weights = forwarders::integer_weights(delivered->operations[0].lines);
     double sum = 0;
-    for (const int n : numbers) sum += n;
-    std::map<std::string, double> part;
-    for (std::size_t k = 0; k < numbers.size(); ++k)
-      part[held->operations[0].lines[k].name] = numbers[k] / sum;
+    for (const int n : weights) sum += n;
+    std::map<std::string, double> shares;
+    for (std::size_t k = 0; k < weights.size(); ++k)
+      shares[delivered->operations[0].lines[k].name] = weights[k] / sum;
     for (unsigned k = 0; k < 12; ++k)
-      EXPECT_NEAR(part["w" + std::to_string(k)], rig.weight(0, k) / rig.total(0), 0.004)
-          << "moment " << moment << " worker " << k;
+      EXPECT_NEAR(shares["w" + std::to_string(k)], rig.weight(0, k) / rig.total(0), 0.004)
+          << "round " << round << " worker " << k;
   }
 }
 
-// Forwarders of two zones contradict each other about a third's workers: the way is to blame, not the
-// workers.
-TEST(Fronts, ContradictingReportsAreAnsweredByTheLink) {
+// Forwarders in two zones contradict each other about the workers of a third zone, so the link between zones
+// is at fault and not the workers.
+TEST(Forwarders, ContradictingReportsReduceTheLink) {
   auto s = coordinator::test_settings();
   s.groups.resize(1), s.groups[0].name = "elsewhere", s.groups[0].sources.clear();
   for (std::uint16_t k = 0; k < 4; ++k)
     s.forwarders.push_back({"f" + std::to_string(k), ZoneId{static_cast<std::uint16_t>(k % 2)}, {}, 60});
   coordinator::Rig rig{12, s};
   rig.rate = 0;
-  std::map<ProxyId, std::shared_ptr<const DesiredTable>> held;
+  std::map<ProxyId, std::shared_ptr<const DesiredTable>> delivered;
   for (int round = 0; round < 24; ++round) {
     std::vector<coordinator::Input> inputs;
     for (std::uint16_t k = 0; k < 4; ++k) {
       const ProxyId id{static_cast<std::uint16_t>(coordinator::kFirstForwarderId + k)};
       inputs.emplace_back(coordinator::ForwarderJoined{id});
-      coordinator::ForwarderReport met{id, {}, {{OperationId{0}, 30}}};
+      coordinator::ForwarderReport report{id, {}, {{OperationId{0}, 30}}};
       for (unsigned w = 0; w < 12; ++w)
-        met.rows.push_back({*rig.core.backend_id("w" + std::to_string(w)), OperationId{0}, 8,
-                            k % 2 == 0 && w % 3 == 2 && round > 8 ? 8 : 0, Span::seconds(0.2)});
-      inputs.emplace_back(std::move(met));
+        report.rows.push_back({*rig.core.backend_id("w" + std::to_string(w)), OperationId{0}, 8,
+                               k % 2 == 0 && w % 3 == 2 && round > 8 ? 8 : 0, Span::seconds(0.2)});
+      inputs.emplace_back(std::move(report));
     }
     rig.step(inputs);
     rig.seconds(0.5);
-    for (const auto& d : rig.deliveries) held[d.forwarder] = d.table;
+    for (const auto& d : rig.deliveries) delivered[d.forwarder] = d.table;
     rig.deliveries.clear();
   }
   const auto lines_of_c = [&](std::uint16_t k) {
     std::size_t n = 0;
-    for (const auto& line :
-         held[ProxyId{static_cast<std::uint16_t>(coordinator::kFirstForwarderId + k)}]->operations[0].lines)
+    for (const auto& line : delivered[ProxyId{static_cast<std::uint16_t>(coordinator::kFirstForwarderId + k)}]
+                                ->operations[0]
+                                .lines)
       n += std::stoi(line.name.substr(1)) % 3 == 2;
     return n;
   };
@@ -577,15 +580,15 @@
   EXPECT_EQ(lines_of_c(1), 4U);
 }
 
-// 150 forwarders that join at once: the channel and the cap on messages hold, and all are led in the end.
-TEST(Fronts, AStormOfJoinsKeepsTheChannel) {
+// 150 forwarders join at once: the backlog and message limits hold, and each forwarder gets its table.
+TEST(Forwarders, MassJoinsStayWithinTheChannelLimits) {
   auto s = coordinator::test_settings();
   s.backlog = 1500, s.lines_per_second = 1500, s.messages_most = 30;
   for (int k = 0; k < 150; ++k)
     s.forwarders.push_back({"f" + std::to_string(k), ZoneId{static_cast<std::uint16_t>(k % 3)}, {}, 5});
   coordinator::Rig rig{60, s};
-  std::set<ProxyId> led;
-  for (int storm = 0; storm < 2; ++storm) {
+  std::set<ProxyId> configured;
+  for (int round = 0; round < 2; ++round) {
     std::vector<coordinator::Input> joins;
     for (std::uint16_t k = 0; k < 150; ++k) {
       const ProxyId id{static_cast<std::uint16_t>(coordinator::kFirstForwarderId + k)};
@@ -593,13 +596,13 @@
       joins.emplace_back(coordinator::ForwarderJoined{id});
     }
     rig.step(joins);
-    led.clear();
+    configured.clear();
     for (int t = 0; t < 200; ++t) {
       rig.seconds(0.1);
-      for (const auto& d : rig.deliveries) led.insert(d.forwarder);
+      for (const auto& d : rig.deliveries) configured.insert(d.forwarder);
       rig.deliveries.clear();
     }
-    EXPECT_EQ(led.size(), 150U);
+    EXPECT_EQ(configured.size(), 150U);
   }
   EXPECT_LE(rig.core.counters().peak_backlog, 1500);
 }
