--- a/src/runtime_api/command_server.cpp
+++ b/src/runtime_api/command_server.cpp
@@ -98,7 +98,8 @@
 }
 
 void CommandServer::accept(net::Fd fd) {
-  if (peers_.size() >= limits_.max_peers) return;  // closes the new connection
+  if (peers_.size() >= limits_.max_peers)
+    return;  // closes the new connection; connected peers are unaffected
   const std::uint64_t id = ++last_id_;
   auto peer = std::make_shared<Peer>();
   peers_[id] = peer;
