--- a/src/runtime_api/driver.cpp
+++ b/src/runtime_api/driver.cpp
@@ -14,8 +14,7 @@
 namespace {
 
 constexpr std::size_t kMaxAnswerBytes = 16U << 20U;  // for `show stat` of a large forwarder
-const Span kRereadDelay =
-    Span::seconds(0.25);  // after a refusal, since the forwarder may be restarting or changing
+const Span kRereadDelay = Span::seconds(0.25);  // after a refusal, since the forwarder may be about to change
 
 }  // namespace
 
