--- a/bench/program_bench.cpp
+++ b/bench/program_bench.cpp
@@ -342,7 +342,7 @@
   std::array<std::vector<double>, 2> per_second;
   std::array<double, 2> longest{};
   std::array<std::size_t, 2> turns{};
-  std::uint64_t steps = 0, bytes = 0, left_out = 0;
+  std::uint64_t steps = 0, bytes = 0, dropped_counts = 0;
   for (int round = 0; round < 10; ++round) {
     const bool with = (round + round / 2) % 2 == 1;  // neither always goes first
     Rig rig{300};
@@ -377,7 +377,7 @@
       longest[with ? 1 : 0] = std::max(longest[with ? 1 : 0], millis(rig.longest)),
                          turns[with ? 1 : 0] += rig.turn;
       if (recorder)
-        for (const auto& [what, n] : recorder->left_out()) left_out += n;
+        for (const auto& [what, n] : recorder->dropped_counts()) dropped_counts += n;
     }
     if (with) bytes += std::filesystem::file_size(file);
   }
@@ -390,7 +390,7 @@
       per_second[1][2], per_second[1][2] / per_second[0][2], per_second[0][2], longest[1], longest[0],
       turns[1], turns[0], static_cast<unsigned long long>(steps),
       static_cast<double>(bytes) / static_cast<double>(std::max<std::uint64_t>(1, steps)),
-      static_cast<unsigned long long>(left_out));
+      static_cast<unsigned long long>(dropped_counts));
 }
 
 void steps() {
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -47,7 +47,7 @@
   f.origin = s.dns.origin, f.hostmaster = s.dns.hostmaster, f.nameservers = s.dns.nameservers;
   f.address = s.listen.address;
   f.negative_ttl = static_cast<std::uint32_t>(s.dns.negative_for.seconds());
-  f.udp_size = static_cast<std::uint16_t>(s.dns.additional_most);
+  f.udp_size = static_cast<std::uint16_t>(s.dns.max_udp_size);
   for (const auto& op : s.core.operations) f.operations.push_back(op.name);
   f.lines_most = static_cast<std::size_t>(s.core.lines_most);
   f.addresses_most = static_cast<std::size_t>(s.core.addresses_most);
@@ -228,7 +228,8 @@
                               std::chrono::system_clock::now().time_since_epoch())
                               .count();
       // From a background thread; the log takes lines from any.
-      recorder_.emplace(*background_, record::RecorderSettings{s_.recording_file, s_.recording_most, 4096},
+      recorder_.emplace(*background_,
+                        record::RecorderSettings{s_.recording_file, s_.recording_size_limit, 4096},
                         std::move(header), Instant{}, [this](const std::string& why) {
                           log_.event(log::Level::warning, "recording_stopped", {{"why", why}});
                         });
@@ -439,7 +440,7 @@
   }
 
   void watch_roster() {
-    roster_task_ = background_->add({"roster", 1, s_.roster_every, 0, 1}, [this] {
+    roster_task_ = background_->add({"roster", 1, s_.roster_check_interval, 0, 1}, [this] {
       auto look = roster_.look();
       const std::size_t n = look.entries ? look.entries->size() : 0;
       // An unchanged file is nothing to wake the loop for.
@@ -461,7 +462,7 @@
       return;
     }
     // What the module was started with can't change under it; saying so beats doing half of it.
-    if (config::fixed_part(fresh) != config::fixed_part(s_))
+    if (config::non_reloadable_settings(fresh) != config::non_reloadable_settings(s_))
       log_.event(
           log::Level::warning, "reload_partial",
           {{"why",
@@ -477,7 +478,7 @@
       }
     }
     log_.set_level(fresh.log_level);
-    s_.roster_file = fresh.roster_file, s_.roster_every = fresh.roster_every;
+    s_.roster_file = fresh.roster_file, s_.roster_check_interval = fresh.roster_check_interval;
     s_.core.groups = fresh.core.groups, s_.core.trusted_resolvers = fresh.core.trusted_resolvers;
     s_.core.lifetime_most = fresh.core.lifetime_most, s_.core.group_idle = fresh.core.group_idle;
     seen_.assign(s_.core.groups.size(), {});
--- a/src/config/hcl.cpp
+++ b/src/config/hcl.cpp
@@ -10,15 +10,15 @@
 
 namespace p = tao::pegtl;
 
-constexpr std::size_t kTextMost = 4U << 20U;
-constexpr std::size_t kDepthMost = 32;  // far above any settings file; bounds the parser's own stack
-constexpr std::size_t kFaultsMost = 20;
+constexpr std::size_t kMaxTextBytes = 4U << 20U;
+constexpr std::size_t kMaxDepth = 32;  // bounds the parser's recursion; no settings file comes near it
+constexpr std::size_t kMaxFaults = 20;
 
-// What the actions build: values on a stack, bodies nested.
+// State that the grammar actions build up: a stack of values and a stack of nested bodies.
 struct Builder {
   std::vector<Value> values;
-  std::vector<std::pair<std::size_t, Place>> marks;  // where an open list or object began on the stack
-  std::vector<std::pair<std::string, Place>> keys;   // of open objects
+  std::vector<std::pair<std::size_t, Place>> marks;  // stack index at which each open list or object begins
+  std::vector<std::pair<std::string, Place>> keys;   // keys of all open objects
   std::vector<Body*> bodies;
   std::string text, name, heredoc;
   Place text_at, name_at;
@@ -44,12 +44,13 @@
 struct esc_u8 : p::seq<p::one<'U'>, p::rep<8, p::xdigit>> {};
 struct esc_body : p::sor<esc_char, esc_u4, esc_u8> {};
 struct escape : p::if_must<p::one<'\\'>, esc_body> {};
-struct dollar : p::sor<TAO_PEGTL_STRING("$${"), TAO_PEGTL_STRING("%%{")> {};
+struct template_escape : p::sor<TAO_PEGTL_STRING("$${"), TAO_PEGTL_STRING("%%{")> {};
 struct no_template : p::not_at<p::sor<TAO_PEGTL_STRING("${"), TAO_PEGTL_STRING("%{")>> {};
 struct plain_char : p::utf8::not_one<'"', '\\', '\n'> {};
 struct str_open : p::one<'"'> {};
 struct str_close : p::one<'"'> {};
-struct str_part : p::sor<escape, dollar, p::seq<p::at<plain_char>, p::must<no_template>, plain_char>> {};
+struct str_part
+    : p::sor<escape, template_escape, p::seq<p::at<plain_char>, p::must<no_template>, plain_char>> {};
 struct quoted : p::if_must<str_open, p::star<str_part>, str_close> {};
 
 struct string_value : quoted {};
@@ -64,7 +65,7 @@
 struct false_word : p::seq<TAO_PEGTL_STRING("false"), word_end> {};
 struct null_word : p::seq<TAO_PEGTL_STRING("null"), word_end> {};
 
-// A heredoc is matched by hand: its end is a word that its beginning names.
+// A heredoc is matched by hand, because its opening line names the word that ends it.
 struct heredoc {
   template <p::apply_mode, p::rewind_mode, template <typename...> class, template <typename...> class,
             typename Input, typename... States>
@@ -108,16 +109,16 @@
   }
 };
 
-// Counts nesting, so that a hostile file can't exhaust the stack.
-struct deeper {
+// Limits the nesting depth, so that a malicious file can't exhaust the stack.
+struct enter_level {
   template <p::apply_mode, p::rewind_mode, template <typename...> class, template <typename...> class,
             typename Input, typename... States>
   static bool match(Input& in, Builder& b, States&&...) {
-    if (++b.depth > kDepthMost) throw p::parse_error("nested more than 32 deep", in);
+    if (++b.depth > kMaxDepth) throw p::parse_error("nested more than 32 deep", in);
     return true;
   }
 };
-struct shallower {
+struct leave_level {
   template <p::apply_mode, p::rewind_mode, template <typename...> class, template <typename...> class,
             typename Input, typename... States>
   static bool match(Input&, Builder& b, States&&...) {
@@ -133,32 +134,32 @@
 struct list_items
     : p::opt<p::seq<p::not_at<list_close>, p::must<value>,
                     p::star<list_more, p::not_at<list_close>, p::must<value>>, p::opt<wsnl, p::one<','>>>> {};
-struct list : p::if_must<list_open, deeper, wsnl, list_items, wsnl, list_close, shallower> {};
+struct list : p::if_must<list_open, enter_level, wsnl, list_items, wsnl, list_close, leave_level> {};
 struct object_open : p::one<'{'> {};
 struct object_close : p::one<'}'> {};
-struct key_sign : p::one<'=', ':'> {};
+struct key_separator : p::one<'=', ':'> {};
 struct member_key : p::sor<bare_key, quoted_key> {};
-struct member : p::if_must<member_key, ws, key_sign, ws, value> {};
+struct member : p::if_must<member_key, ws, key_separator, ws, value> {};
 struct member_end : p::seq<ws, p::sor<p::one<','>, p::one<'\n'>, line_comment, p::at<object_close>>> {};
-struct object : p::if_must<object_open, deeper, wsnl, p::star<member, p::must<member_end>, wsnl>,
-                           object_close, shallower> {};
+struct object : p::if_must<object_open, enter_level, wsnl, p::star<member, p::must<member_end>, wsnl>,
+                           object_close, leave_level> {};
 struct value : p::sor<string_value, number, true_word, false_word, null_word, heredoc, list, object> {};
 
-struct attr_sign : p::seq<p::one<'='>, p::not_at<p::one<'='>>> {};
+struct attribute_sign : p::seq<p::one<'='>, p::not_at<p::one<'='>>> {};
 struct line_end : p::seq<ws, p::sor<p::one<'\n'>, line_comment, p::eof, p::at<p::one<'}'>>>> {};
-struct attribute : p::if_must<p::seq<ws, attr_sign>, ws, value, line_end> {};
+struct attribute : p::if_must<p::seq<ws, attribute_sign>, ws, value, line_end> {};
 struct block_open : p::one<'{'> {};
 struct block_close : p::one<'}'> {};
 struct body;
 struct block : p::seq<p::star<ws, p::sor<label, bare_label>>, ws,
-                      p::if_must<block_open, deeper, body, block_close, shallower>> {};
+                      p::if_must<block_open, enter_level, body, block_close, leave_level>> {};
 struct item_rest : p::sor<attribute, block> {};
 struct item : p::if_must<ident, item_rest> {};
 struct body : p::seq<wsnl, p::star<item, wsnl>> {};
 struct file_end : p::eof {};
 struct file : p::must<body, file_end> {};
 
-// ---- What an unmet rule is called ----------------------------------------------------------------------
+// ---- Error messages by grammar rule ----------------------------------------------------------------------
 
 template <typename Rule>
 inline constexpr const char* expected = nullptr;
@@ -168,19 +169,19 @@
 inline constexpr const char* expected<esc_body> =
     "unknown escape; known are \\n \\r \\t \\\" \\\\ \\uXXXX \\UXXXXXXXX";
 template <>
-inline constexpr const char* expected<p::star<str_part>> = "string can't be read";
+inline constexpr const char* expected<p::star<str_part>> = "invalid character in a string";
 template <>
 inline constexpr const char* expected<str_close> = "string is not closed on its line";
 template <>
 inline constexpr const char* expected<no_template> =
-    "templates are not supported; write $${ or %%{ for the plain signs";
+    "templates are not supported; write $${ or %%{ for the literal characters";
 template <>
 inline constexpr const char* expected<value> =
     "expected a value: \"text\", a number, true, false, null, [list], {object} or <<HEREDOC";
 template <>
 inline constexpr const char* expected<list_close> = "expected ',' or ']' in a list";
 template <>
-inline constexpr const char* expected<key_sign> = "expected '=' or ':' after an object's key";
+inline constexpr const char* expected<key_separator> = "expected '=' or ':' after an object's key";
 template <>
 inline constexpr const char* expected<object_close> = "expected a key or '}' in an object";
 template <>
@@ -194,13 +195,13 @@
 template <>
 inline constexpr const char* expected<item_rest> = "expected '=' and a value, or labels and '{' of a block";
 template <>
-inline constexpr const char* expected<file_end> = "expected a setting's or a block's name";
+inline constexpr const char* expected<file_end> = "expected the name of a setting or a block";
 
 template <typename Rule>
 struct control : p::normal<Rule> {
   template <typename Input, typename... States>
   [[noreturn]] static void raise(const Input& in, States&&...) {
-    throw p::parse_error(expected<Rule> != nullptr ? expected<Rule> : "can't be read", in);
+    throw p::parse_error(expected<Rule> != nullptr ? expected<Rule> : "syntax error", in);
   }
 };
 
@@ -244,7 +245,7 @@
   }
 };
 template <>
-struct action<dollar> {
+struct action<template_escape> {
   template <typename In>
   static void apply(const In& in, Builder& b) {
     b.text += in.string_view().substr(1);
@@ -262,7 +263,8 @@
   template <typename In>
   static void apply(const In& in, Builder& b) {
     const auto c = std::strtoul(in.string().c_str() + 1, nullptr, 16);
-    if (c > 0x10ffff || (c >= 0xd800 && c < 0xe000)) throw p::parse_error("no such Unicode character", in);
+    if (c > 0x10ffff || (c >= 0xd800 && c < 0xe000))
+      throw p::parse_error("not a valid Unicode code point", in);
     append_utf8(b.text, c);
   }
 };
@@ -415,14 +417,14 @@
 }
 
 Body parse(std::string_view text, const std::string& file_name, std::vector<Fault>& faults) {
-  if (text.size() > kTextMost) {
+  if (text.size() > kMaxTextBytes) {
     faults.push_back({file_name, {}, "is larger than 4 MiB"});
     return {};
   }
-  // One fault a line: a line that can't be read is blanked and the rest read again, so that a person sees all
-  // the faults at once. A line with a brace is not blanked, since its block would fall apart.
+  // After a syntax error the line is blanked and the text is parsed again, so that one run reports the faults
+  // of all lines. A line with a bracket or brace ends the recovery: blanking it would unbalance its block.
   std::string rest{text};
-  for (std::size_t tries = 0;; ++tries) {
+  for (std::size_t attempt = 0;; ++attempt) {
     Body whole;
     Builder builder;
     builder.bodies.push_back(&whole);
@@ -437,7 +439,7 @@
       for (std::size_t line = 1; line < at.line; ++line) from = rest.find('\n', from) + 1;
       const auto to = std::min(rest.find('\n', from), rest.size());
       const bool braced = rest.substr(from, to - from).find_first_of("{}[]") != std::string::npos;
-      if (braced || from == to || tries + 1 >= kFaultsMost) return {};
+      if (braced || from == to || attempt + 1 >= kMaxFaults) return {};
       std::fill(rest.begin() + static_cast<std::ptrdiff_t>(from),
                 rest.begin() + static_cast<std::ptrdiff_t>(to), ' ');
     }
--- a/src/config/hcl.hpp
+++ b/src/config/hcl.hpp
@@ -1,5 +1,6 @@
-// HCL native syntax, without expressions: attributes, blocks with labels, strings with escapes, numbers,
-// booleans, null, lists, objects, heredocs, and the three kinds of comment. Every part keeps its place.
+// Parser for HCL native syntax without expressions: attributes, blocks with labels, strings with escapes,
+// numbers, booleans, null, lists, objects, heredocs, and the three kinds of comment. Each element of the
+// result carries its source position.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +13,7 @@
 namespace gorsemount::hcl {
 
 struct Place {
-  std::size_t line = 0, column = 0;  // from 1; 0: nowhere
+  std::size_t line = 0, column = 0;  // counted from 1; 0 if there is no position
 };
 
 struct Fault {
@@ -52,8 +53,8 @@
   Body body;
 };
 
-// Parses a whole text. Appends one fault for each line that can't be read (20 at most) and returns what
-// could. Limits: 4 MiB of text, 32 levels of nesting.
+// Parses a complete text and appends one fault for each line with a syntax error, 20 at most. Returns an
+// empty body if recovery is not possible. Limits: 4 MiB of text, 32 levels of nesting.
 [[nodiscard]] Body parse(std::string_view text, const std::string& file, std::vector<Fault>& faults);
 
 }  // namespace gorsemount::hcl
--- a/src/config/reader.cpp
+++ b/src/config/reader.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-const hcl::Body kNothing;
+const hcl::Body kEmptyBody;
 
-std::size_t edits(const std::string& a, const std::string& b) {
+std::size_t edit_distance(const std::string& a, const std::string& b) {
   std::vector<std::size_t> row(b.size() + 1);
   std::iota(row.begin(), row.end(), 0U);
   for (std::size_t i = 1; i <= a.size(); ++i) {
@@ -26,7 +26,7 @@
   return row.back();
 }
 
-std::string hint(const std::string& word, const std::set<std::string>& known) {
+std::string suggestion(const std::string& word, const std::set<std::string>& known) {
   if (const auto near = nearest(word, known)) return "; did you mean '" + *near + "'?";
   return known.empty() ? "" : fmt::format("; known here: {}", fmt::join(known, ", "));
 }
@@ -58,7 +58,7 @@
   std::optional<std::string> best;
   std::size_t least = std::max<std::size_t>(2, word.size() / 3) + 1;
   for (const auto& name : known)
-    if (const auto n = edits(word, name); n < least) least = n, best = name;
+    if (const auto n = edit_distance(word, name); n < least) least = n, best = name;
   return best;
 }
 
@@ -77,28 +77,28 @@
 }
 
 void Section::fault(hcl::Place at, std::string what) const {
-  found_->faults.push_back({found_->file, at, std::move(what)});
+  findings_->faults.push_back({findings_->file, at, std::move(what)});
 }
 
-void Section::wrong(const char* name, const hcl::Value& value, const std::string& expected) const {
+void Section::wrong_type(const char* name, const hcl::Value& value, const std::string& expected) const {
   fault(value.at, fmt::format("'{}' must be {}, not {}", name, expected, value.kind()));
 }
 
-void Section::note(const char* name, const hcl::Value* value, std::string text) const {
-  found_->values.push_back(
+void Section::record_value(const char* name, const hcl::Value* value, std::string text) const {
+  findings_->values.push_back(
       {path_.empty() ? name : path_ + "." + name, std::move(text),
-       value == nullptr ? "default" : fmt::format("{}:{}", found_->file, value->at.line)});
+       value == nullptr ? "default" : fmt::format("{}:{}", findings_->file, value->at.line)});
 }
 
-double Section::number(const char* name, std::optional<double> otherwise, Range range, const char* unit) {
-  const hcl::Value* value = find(name, !otherwise);
-  double result = otherwise.value_or(0);
+double Section::number(const char* name, std::optional<double> fallback, Range range, const char* unit) {
+  const hcl::Value* value = find(name, !fallback);
+  double result = fallback.value_or(0);
   if (value != nullptr) {
     const auto* given = std::get_if<double>(&value->data);
     const bool fits = given != nullptr && *given >= range.least && *given <= range.most &&
                       (!range.whole || *given == std::floor(*given));
     if (given == nullptr) {
-      wrong(name, *value, range.whole ? "a whole number" : "a number");
+      wrong_type(name, *value, range.whole ? "a whole number" : "a number");
     } else if (!fits) {
       const std::string bound = range.most >= 1e15
                                     ? fmt::format("{:g} or more", range.least)
@@ -109,18 +109,18 @@
       result = *given;
     }
   }
-  note(name, value, fmt::format("{:g}{}{}", result, *unit != 0 ? " " : "", unit));
+  record_value(name, value, fmt::format("{:g}{}{}", result, *unit != 0 ? " " : "", unit));
   return result;
 }
 
-Span Section::span(const char* name, std::optional<Span> otherwise, Span least, Span most) {
-  const hcl::Value* value = find(name, !otherwise);
-  Span result = otherwise.value_or(Span{});
+Span Section::span(const char* name, std::optional<Span> fallback, Span least, Span most) {
+  const hcl::Value* value = find(name, !fallback);
+  Span result = fallback.value_or(Span{});
   if (value != nullptr) {
     const auto* given = std::get_if<std::string>(&value->data);
     const auto read = given != nullptr ? parse_span(*given) : std::nullopt;
     if (given == nullptr) {
-      wrong(name, *value, "a span of time such as \"250ms\" or \"4s\"");
+      wrong_type(name, *value, "a span of time such as \"250ms\" or \"4s\"");
     } else if (!read) {
       fault(value->at,
             fmt::format("'{}' is \"{}\"; expected a span of time such as \"250ms\", \"4s\" or \"2m\"", name,
@@ -132,54 +132,54 @@
       result = *read;
     }
   }
-  note(name, value, span_text(result));
+  record_value(name, value, span_text(result));
   return result;
 }
 
-std::string Section::text(const char* name, std::optional<std::string> otherwise) {
-  const hcl::Value* value = find(name, !otherwise);
-  std::string result = otherwise.value_or("");
+std::string Section::text(const char* name, std::optional<std::string> fallback) {
+  const hcl::Value* value = find(name, !fallback);
+  std::string result = fallback.value_or("");
   if (value != nullptr) {
     if (const auto* given = std::get_if<std::string>(&value->data)) {
       result = *given;
     } else {
-      wrong(name, *value, "a string");
+      wrong_type(name, *value, "a string");
     }
   }
-  note(name, value, '"' + result + '"');
+  record_value(name, value, '"' + result + '"');
   return result;
 }
 
-bool Section::flag(const char* name, bool otherwise) {
+bool Section::flag(const char* name, bool fallback) {
   const hcl::Value* value = find(name, false);
-  bool result = otherwise;
+  bool result = fallback;
   if (value != nullptr) {
     if (const auto* given = std::get_if<bool>(&value->data)) {
       result = *given;
     } else {
-      wrong(name, *value, "true or false");
+      wrong_type(name, *value, "true or false");
     }
   }
-  note(name, value, result ? "true" : "false");
+  record_value(name, value, result ? "true" : "false");
   return result;
 }
 
-std::size_t Section::word(const char* name, const std::vector<std::string>& words,
-                          std::optional<std::size_t> otherwise) {
-  const hcl::Value* value = find(name, !otherwise);
-  std::size_t result = otherwise.value_or(0);
+std::size_t Section::choice(const char* name, const std::vector<std::string>& words,
+                            std::optional<std::size_t> fallback) {
+  const hcl::Value* value = find(name, !fallback);
+  std::size_t result = fallback.value_or(0);
   if (value != nullptr) {
     const auto* given = std::get_if<std::string>(&value->data);
     if (given == nullptr) {
-      wrong(name, *value, "a string");
+      wrong_type(name, *value, "a string");
     } else if (const auto it = std::find(words.begin(), words.end(), *given); it != words.end()) {
       result = static_cast<std::size_t>(it - words.begin());
     } else {
       fault(value->at,
-            fmt::format("'{}' is \"{}\"{}", name, *given, hint(*given, {words.begin(), words.end()})));
+            fmt::format("'{}' is \"{}\"{}", name, *given, suggestion(*given, {words.begin(), words.end()})));
     }
   }
-  note(name, value, '"' + words[result] + '"');
+  record_value(name, value, '"' + words[result] + '"');
   return result;
 }
 
@@ -189,7 +189,7 @@
   if (value == nullptr) return result;
   const auto* list = std::get_if<hcl::List>(&value->data);
   if (list == nullptr) {
-    wrong(name, *value, "a list of strings");
+    wrong_type(name, *value, "a list of strings");
     return result;
   }
   std::vector<std::string> plain;
@@ -197,10 +197,10 @@
     if (const auto* text = std::get_if<std::string>(&item.data)) {
       result.emplace_back(*text, item.at), plain.push_back('"' + *text + '"');
     } else {
-      wrong(name, item, "a list of strings");
+      wrong_type(name, item, "a list of strings");
     }
   }
-  note(name, value, fmt::format("[{}]", fmt::join(plain, ", ")));
+  record_value(name, value, fmt::format("[{}]", fmt::join(plain, ", ")));
   return result;
 }
 
@@ -221,24 +221,24 @@
   return result;
 }
 
-Section Section::only(const char* type) {
+Section Section::block(const char* type) {
   const auto found = blocks(type, 0);
   if (found.size() > 1) fault(found[1]->at, fmt::format("block '{}' is there twice", type));
   const std::string path = path_.empty() ? type : path_ + "." + type;
-  if (found.empty()) return {kNothing, at_, path, *found_};
-  return {found[0]->body, found[0]->at, path, *found_};
+  if (found.empty()) return {kEmptyBody, at_, path, *findings_};
+  return {found[0]->body, found[0]->at, path, *findings_};
 }
 
-void Section::done() {
+void Section::finish() {
   std::set<std::string> seen;
   for (const auto& a : body_->attributes) {
     if (!names_.contains(a.name))
-      fault(a.at, fmt::format("unknown setting '{}'{}", a.name, hint(a.name, names_)));
+      fault(a.at, fmt::format("unknown setting '{}'{}", a.name, suggestion(a.name, names_)));
     if (!seen.insert(a.name).second) fault(a.at, fmt::format("'{}' is set twice", a.name));
   }
   for (const auto& b : body_->blocks)
     if (!types_.contains(b.type))
-      fault(b.at, fmt::format("unknown block '{}'{}", b.type, hint(b.type, types_)));
+      fault(b.at, fmt::format("unknown block '{}'{}", b.type, suggestion(b.type, types_)));
 }
 
 }  // namespace gorsemount::config
--- a/src/config/reader.hpp
+++ b/src/config/reader.hpp
@@ -1,5 +1,5 @@
-// Reads checked values out of parsed settings. Every mistake of a file is found in one go: each is a fault
-// with its place, what was expected and, for an unknown name, the nearest known one.
+// Reads and validates values from parsed settings. All faults of a file are collected in one pass, each with
+// its position, what was expected and, for an unknown name, the closest known one.
 #pragma once
 
 #include <limits>
@@ -14,7 +14,7 @@
 
 namespace gorsemount::config {
 
-// A value in force, for people: where it stands in the settings, its text with unit, where it came from.
+// An effective value for `explain-config`: its path in the settings, its text with unit, and its source.
 struct Effective {
   std::string path, value, source;
 };
@@ -25,10 +25,10 @@
   std::vector<Effective> values;
 };
 
-// "250ms", "1.5s", "2m"; empty if it is no span of time.
+// Parses a duration such as "250ms", "1.5s" or "2m"; empty if the text is not a duration.
 [[nodiscard]] std::optional<Span> parse_span(const std::string& text);
 [[nodiscard]] std::string span_text(Span span);
-// Of `known`, the name closest to `word` by edits, if it is close at all.
+// The name in `known` with the smallest edit distance to `word`; empty if none is close.
 [[nodiscard]] std::optional<std::string> nearest(const std::string& word, const std::set<std::string>& known);
 
 struct Range {
@@ -37,42 +37,43 @@
   bool whole = false;
 };
 
-// One block (or the whole file). A getter without a default reports a missing setting; every getter reports a
-// wrong kind or an out-of-range value, and returns the default then. `done` reports what nobody asked for.
+// One block, or the whole file. A getter without a default reports a missing setting. Each getter reports a
+// value of the wrong type or out of range, and returns the default then. `finish` reports duplicates, and
+// settings and blocks that were not requested.
 class Section {
  public:
   Section(const hcl::Body& body, hcl::Place at, std::string path, Findings& findings)
-      : body_{&body}, at_{at}, path_{std::move(path)}, found_{&findings} {}
+      : body_{&body}, at_{at}, path_{std::move(path)}, findings_{&findings} {}
 
-  double number(const char* name, std::optional<double> otherwise, Range range, const char* unit = "");
-  Span span(const char* name, std::optional<Span> otherwise, Span least, Span most);
-  std::string text(const char* name, std::optional<std::string> otherwise);
-  bool flag(const char* name, bool otherwise);
-  // One of the words; the place among them.
-  std::size_t word(const char* name, const std::vector<std::string>& words,
-                   std::optional<std::size_t> otherwise);
+  double number(const char* name, std::optional<double> fallback, Range range, const char* unit = "");
+  Span span(const char* name, std::optional<Span> fallback, Span least, Span most);
+  std::string text(const char* name, std::optional<std::string> fallback);
+  bool flag(const char* name, bool fallback);
+  // The index of the value in `words`.
+  std::size_t choice(const char* name, const std::vector<std::string>& words,
+                     std::optional<std::size_t> fallback);
   std::vector<std::pair<std::string, hcl::Place>> texts(const char* name);
-  // Blocks of a type with `labels` labels each; others of that type are reported.
+  // Blocks of a type that have `labels` labels; those with another number of labels are reported.
   std::vector<const hcl::Block*> blocks(const char* type, std::size_t labels);
-  // The one block of a type; an empty one if there is none.
-  Section only(const char* type);
-  void done();
+  // The single block of a type; an empty section if there is none.
+  Section block(const char* type);
+  void finish();
 
   void fault(hcl::Place at, std::string what) const;
   [[nodiscard]] hcl::Place at() const { return at_; }
-  [[nodiscard]] hcl::Place place(const char* name) const;  // of a setting, or of the block
+  [[nodiscard]] hcl::Place place(const char* name) const;  // of a setting; of the block if it is not set
   [[nodiscard]] const std::string& path() const { return path_; }
-  [[nodiscard]] Findings* findings() const { return found_; }
+  [[nodiscard]] Findings* findings() const { return findings_; }
 
  private:
   const hcl::Value* find(const char* name, bool needed);
-  void wrong(const char* name, const hcl::Value& value, const std::string& expected) const;
-  void note(const char* name, const hcl::Value* value, std::string text) const;
+  void wrong_type(const char* name, const hcl::Value& value, const std::string& expected) const;
+  void record_value(const char* name, const hcl::Value* value, std::string text) const;
 
   const hcl::Body* body_;
   hcl::Place at_;
   std::string path_;
-  Findings* found_;
+  Findings* findings_;
   std::set<std::string> names_, types_;
 };
 
--- a/src/lab/replay/compare.cpp
+++ b/src/lab/replay/compare.cpp
@@ -20,35 +20,37 @@
   return out;
 }
 
-// Lines that differ by dashes and not by colour, so that they can be told apart in print.
+// Series differ by dash pattern, not by colour, so that they can be told apart in print.
 struct Series {
   std::string name;
   std::vector<std::pair<double, double>> points;
 };
 std::string plot(const std::string& title, const std::string& x_name, const std::vector<Series>& series,
                  double y_most) {
-  constexpr double kWide = 720, kHigh = 220, kLeft = 52, kBelow = 36;
+  constexpr double kWidth = 720, kHeight = 220, kLeftMargin = 52, kBottomMargin = 36;
   constexpr std::array<const char*, 6> dashes{"", "7 4", "2 3", "10 3 2 3", "1 5", "14 5"};
   double x_most = 1e-9;
   for (const auto& s : series)
     for (const auto& [x, y] : s.points) x_most = std::max(x_most, x), y_most = std::max(y_most, y);
-  const auto at_x = [&](double x) { return kLeft + x / x_most * (kWide - kLeft - 150); };
-  const auto at_y = [&](double y) { return 10 + (1 - y / std::max(1e-9, y_most)) * (kHigh - kBelow - 10); };
+  const auto at_x = [&](double x) { return kLeftMargin + x / x_most * (kWidth - kLeftMargin - 150); };
+  const auto at_y = [&](double y) {
+    return 10 + (1 - y / std::max(1e-9, y_most)) * (kHeight - kBottomMargin - 10);
+  };
   std::string svg =
       fmt::format("<h3>{}</h3><svg viewBox=\"0 0 {} {}\" role=\"img\" aria-label=\"{}\" width=\"{}\">",
-                  escaped(title), kWide, kHigh, escaped(title), kWide);
+                  escaped(title), kWidth, kHeight, escaped(title), kWidth);
   for (int k = 0; k <= 4; ++k) {
     const double y = y_most * k / 4;
     svg += fmt::format(
         "<line x1=\"{:.0f}\" x2=\"{:.0f}\" y1=\"{:.1f}\" y2=\"{:.1f}\" stroke=\"#ccc\"/><text x=\"{:.0f}\" "
         "y=\"{:.1f}\" text-anchor=\"end\">{:.3g}</text>",
-        kLeft, kWide - 150, at_y(y), at_y(y), kLeft - 6, at_y(y) + 4, y);
+        kLeftMargin, kWidth - 150, at_y(y), at_y(y), kLeftMargin - 6, at_y(y) + 4, y);
   }
   for (int k = 0; k <= 4; ++k)
     svg += fmt::format("<text x=\"{:.0f}\" y=\"{:.0f}\" text-anchor=\"middle\">{:.3g}</text>",
-                       at_x(x_most * k / 4), kHigh - 18, x_most * k / 4);
+                       at_x(x_most * k / 4), kHeight - 18, x_most * k / 4);
   svg += fmt::format("<text x=\"{:.0f}\" y=\"{:.0f}\" text-anchor=\"middle\">{}</text>",
-                     (kLeft + kWide - 150) / 2, kHigh - 3, escaped(x_name));
+                     (kLeftMargin + kWidth - 150) / 2, kHeight - 3, escaped(x_name));
   for (std::size_t k = 0; k < series.size(); ++k) {
     std::string points;
     for (const auto& [x, y] : series[k].points) points += fmt::format("{:.1f},{:.1f} ", at_x(x), at_y(y));
@@ -61,29 +63,31 @@
     svg += fmt::format(
         "<line x1=\"{0:.0f}\" x2=\"{1:.0f}\" y1=\"{2:.0f}\" y2=\"{2:.0f}\" stroke=\"#000\" "
         "stroke-width=\"1.6\" stroke-dasharray=\"{3}\"/><text x=\"{4:.0f}\" y=\"{5:.0f}\">{6}</text>",
-        kWide - 142, kWide - 112, y, dash, kWide - 106, y + 4, escaped(series[k].name));
+        kWidth - 142, kWidth - 112, y, dash, kWidth - 106, y + 4, escaped(series[k].name));
   }
   return svg + "</svg>\n";
 }
 
 }  // namespace
 
-double t95(std::size_t degrees) {
+double student_t95(std::size_t degrees) {
   constexpr std::array<double, 11> few{0, 12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23};
   return degrees < few.size() ? few[degrees] : degrees < 30 ? 2.09 : 1.96;
 }
 
-std::vector<Played> play(const script::Day& day, const std::vector<Variant>& variants, int seeds, int jobs,
-                         const WorldSettings& world, const std::function<void(double)>& progress) {
-  std::vector<Played> all;
+std::vector<VariantResult> run_variants(const script::Day& day, const std::vector<Variant>& variants,
+                                        int seeds, int jobs, const WorldSettings& world,
+                                        const std::function<void(double)>& progress) {
+  std::vector<VariantResult> all;
   for (const auto& v : variants) {
     for (std::size_t n = 1; n <= day.coordinators.size(); ++n)
-      static_cast<void>(settings_for(day, n, v.config, v.changes));  // faults now
+      static_cast<void>(
+          settings_for(day, n, v.config, v.changes));  // reports invalid settings before the first run
     all.push_back({v.name, std::vector<Outcome>(static_cast<std::size_t>(seeds)), {}, {}, {}, {}, 1, {}});
   }
   const std::size_t runs = variants.size() * static_cast<std::size_t>(seeds);
   std::atomic<std::size_t> next = 0, done = 0;
-  std::mutex telling;
+  std::mutex progress_lock;
   const auto work = [&] {
     for (std::size_t k = next++; k < runs; k = next++) {
       const std::size_t v = k % variants.size(), seed = k / variants.size();
@@ -93,7 +97,7 @@
         return settings_for(day, n, variant.config, variant.changes);
       };
       all[v].outcomes[seed] = World{day, std::move(s)}.run();
-      const std::lock_guard lock{telling};
+      const std::lock_guard lock{progress_lock};
       progress(static_cast<double>(++done) / static_cast<double>(runs));
     }
   };
@@ -120,25 +124,25 @@
   return all;
 }
 
-Difference difference(const Played& a, const Played& b) {
+Difference difference(const VariantResult& a, const VariantResult& b) {
   std::vector<double> d;
   for (std::size_t k = 0; k < a.outcomes.size(); ++k)
     d.push_back(b.outcomes[k].whole.service() - a.outcomes[k].whole.service());
   Difference out;
   for (const double v : d) out.mean += v / static_cast<double>(d.size());
   if (d.size() < 2) {
-    out.low = -1, out.high = 1;  // one run proves nothing
+    out.low = -1, out.high = 1;  // a single run has no confidence interval
     return out;
   }
   double square = 0;
   for (const double v : d) square += (v - out.mean) * (v - out.mean);
-  const double half = t95(d.size() - 1) *
+  const double half = student_t95(d.size() - 1) *
                       std::sqrt(square / static_cast<double>(d.size() - 1) / static_cast<double>(d.size()));
   out.low = out.mean - half, out.high = out.mean + half;
   return out;
 }
 
-std::string table(const script::Day& day, const std::vector<Played>& played) {
+std::string text_report(const script::Day& day, const std::vector<VariantResult>& played) {
   std::string text = fmt::format("{:<34}", "");
   for (const auto& p : played) text += fmt::format(" {:>16}", p.name.substr(0, 16));
   const auto row = [&](const std::string& what, auto value) {
@@ -146,15 +150,15 @@
     for (const auto& p : played) text += fmt::format(" {:>16}", value(p));
   };
   const auto f = [](double v) { return fmt::format("{:.5f}", v); };
-  row("service", [&](const Played& p) { return f(p.whole.service()); });
-  row("worst 10 s", [&](const Played& p) { return f(p.worst_ten); });
+  row("service", [&](const VariantResult& p) { return f(p.whole.service()); });
+  row("worst 10 s", [&](const VariantResult& p) { return f(p.worst_ten); });
   for (std::size_t k = 0; k < day.operations.size(); ++k)
     row("service of " + day.operations[k].name,
-        [&](const Played& p) { return f(p.by_operation[k].service()); });
+        [&](const VariantResult& p) { return f(p.by_operation[k].service()); });
   for (std::size_t k = 0; k < day.zones.size(); ++k)
-    row("service of " + day.zones[k], [&](const Played& p) { return f(p.by_zone[k].service()); });
+    row("service of " + day.zones[k], [&](const VariantResult& p) { return f(p.by_zone[k].service()); });
   const auto lost = [&](const char* what, std::uint64_t Tally::*n) {
-    row(std::string{"lost: "} + what, [&](const Played& p) {
+    row(std::string{"lost: "} + what, [&](const VariantResult& p) {
       return fmt::format("{:.3f}%", 100.0 * static_cast<double>(p.whole.*n) /
                                         static_cast<double>(std::max<std::uint64_t>(1, p.whole.invocations)));
     });
@@ -162,7 +166,7 @@
   lost("late", &Tally::late), lost("errored", &Tally::errored), lost("rate-limited", &Tally::limited),
       lost("no line", &Tally::no_line);
   const auto worst = [&](const std::string& what, double Outcome::*v) {
-    row(what, [&](const Played& p) {
+    row(what, [&](const VariantResult& p) {
       double most = 0;
       for (const auto& o : p.outcomes) most = std::max(most, o.*v);
       return fmt::format("{:.3f}", most);
@@ -172,12 +176,12 @@
   worst(fmt::format("3 after a drain, of {:.1f} s", day.drain_grace.seconds()), &Outcome::drained_sent);
   worst(fmt::format("4 on a cold one, of {:.1f}", day.tip_multiple), &Outcome::cold_brought);
   worst(fmt::format("5 lines waiting, of {:.0f}", day.backlog), &Outcome::waiting);
-  row("rules broken", [&](const Played& p) { return std::to_string(p.broken.size()); });
+  row("rules broken", [&](const VariantResult& p) { return std::to_string(p.broken.size()); });
   if (played.size() > 1) {
-    row("differs from the first", [&](const Played& p) {
+    row("differs from the first", [&](const VariantResult& p) {
       return &p == &played[0] ? std::string{"-"} : fmt::format("{:+.5f}", difference(played[0], p).mean);
     });
-    row("  95% interval", [&](const Played& p) {
+    row("  95% interval", [&](const VariantResult& p) {
       if (&p == &played[0] || p.outcomes.size() < 2) return std::string{"-"};
       const auto d = difference(played[0], p);
       return fmt::format("{:+.4f} {:+.4f}", d.low, d.high);
@@ -189,13 +193,14 @@
   return text;
 }
 
-std::string page(const script::Day& day, const std::vector<Played>& played, const std::string& remark) {
+std::string html_report(const script::Day& day, const std::vector<VariantResult>& played,
+                        const std::string& remark) {
   std::string html = "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>" + escaped(day.name) +
                      "</title><style>body{font:14px sans-serif;max-width:60em;margin:2em auto;color:#000}svg "
                      "text{font-size:11px}pre{overflow:auto}</style>";
   html += "<h1>" + escaped(day.name) + "</h1>";
   if (!remark.empty()) html += "<p><strong>" + escaped(remark) + "</strong></p>";
-  html += "<pre>" + escaped(table(day, played)) + "</pre>";
+  html += "<pre>" + escaped(text_report(day, played)) + "</pre>";
   std::vector<Series> service;
   for (const auto& p : played) {
     Series s{p.name, {}};
@@ -219,7 +224,7 @@
     std::size_t worst = 0;
     for (std::size_t k = 0; k < first.by_ten.size(); ++k)
       if (first.by_ten[k].asked > 0 && first.by_ten[k].service() < first.by_ten[worst].service()) worst = k;
-    html += fmt::format("<h3>What was said around the worst 10 s ({} to {} s), {}</h3><pre>", 10 * worst,
+    html += fmt::format("<h3>Log events around the worst 10 s ({} to {} s), {}</h3><pre>", 10 * worst,
                         10 * worst + 10, escaped(p.name));
     for (const auto& m : first.moments)
       if (m.at >= 10.0 * static_cast<double>(worst) - 3 && m.at <= 10.0 * static_cast<double>(worst) + 10)
--- a/src/lab/replay/compare.hpp
+++ b/src/lab/replay/compare.hpp
@@ -1,4 +1,4 @@
-// A day under two settings, over seeds that both share: what differs, and how surely.
+// Compares a day under several settings, over the same seeds, with confidence intervals of the differences.
 #pragma once
 
 #include <functional>
@@ -12,34 +12,36 @@
 
 struct Variant {
   std::string name;
-  std::string config;  // the text of a settings file; empty: what the day implies
+  std::string config;  // text of a settings file; empty: the settings that the day implies
   std::vector<Override> changes;
 };
-struct Played {
+struct VariantResult {
   std::string name;
   std::vector<Outcome> outcomes;  // by seed
   Tally whole;
   std::vector<Tally> by_operation, by_zone, by_ten;
-  double worst_ten = 1;  // of the seeds' means
+  double worst_ten = 1;  // lowest service in any 10 s, summed over the seeds
   std::vector<std::string> broken;
 };
-// A mean of paired differences, seed by seed, with its interval at 95%.
+// Mean of the paired differences by seed, with its 95% confidence interval.
 struct Difference {
   double mean = 0, low = 0, high = 0;
-  [[nodiscard]] bool sure() const { return low > 0 || high < 0; }
+  [[nodiscard]] bool significant() const { return low > 0 || high < 0; }
 };
 
-// The outcome is the same for any number of jobs. Throws std::runtime_error for settings that can't be.
-[[nodiscard]] std::vector<Played> play(const script::Day& day, const std::vector<Variant>& variants,
-                                       int seeds, int jobs, const WorldSettings& world,
-                                       const std::function<void(double)>& progress);
-// Student's t, two-sided 95%, by degrees of freedom.
-[[nodiscard]] double t95(std::size_t degrees);
-[[nodiscard]] Difference difference(const Played& a, const Played& b);  // b less a, of the service count
+// The result does not depend on the number of jobs. Throws std::runtime_error for invalid settings.
+[[nodiscard]] std::vector<VariantResult> run_variants(const script::Day& day,
+                                                      const std::vector<Variant>& variants, int seeds,
+                                                      int jobs, const WorldSettings& world,
+                                                      const std::function<void(double)>& progress);
+// Quantile of Student's t distribution, two-sided 95%, by degrees of freedom.
+[[nodiscard]] double student_t95(std::size_t degrees);
+[[nodiscard]] Difference difference(const VariantResult& a,
+                                    const VariantResult& b);  // service of b less that of a
 
-// For a terminal, and as one page of HTML that needs nothing else.
-[[nodiscard]] std::string table(const script::Day& day, const std::vector<Played>& played);
-[[nodiscard]] std::string page(const script::Day& day, const std::vector<Played>& played,
-                               const std::string& remark);
+// Reports for a terminal, and as a self-contained HTML page.
+[[nodiscard]] std::string text_report(const script::Day& day, const std::vector<VariantResult>& played);
+[[nodiscard]] std::string html_report(const script::Day& day, const std::vector<VariantResult>& played,
+                                      const std::string& remark);
 
 }  // namespace gorsemount::lab
--- a/src/lab/replay/fit.cpp
+++ b/src/lab/replay/fit.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-constexpr double kIdle = 0.5;      // use of processors below which a latency is the work itself
-constexpr double kBusy = 0.15;     // and above which throughput over use tells the capacity
-constexpr double kEstimate = 0.8;  // an estimate's interval: from the 10th to the 90th part of a hundred
+constexpr double kIdleUtilization = 0.5;   // below it, latency equals the work of an operation
+constexpr double kBusyUtilization = 0.15;  // above it, throughput over utilization estimates capacity
+constexpr double kEstimateCoverage = 0.8;  // the range of an estimate: from the 10th to the 90th percentile
 
 double quantile(std::vector<double> v, double part) {
   if (v.empty()) return 0;
@@ -25,8 +25,8 @@
   return v[std::min(v.size() - 1, static_cast<std::size_t>(part * static_cast<double>(v.size())))];
 }
 Estimate estimate(std::string what, std::string how, const std::vector<double>& values) {
-  return {std::move(what), std::move(how), quantile(values, 0.5), quantile(values, (1 - kEstimate) / 2),
-          quantile(values, (1 + kEstimate) / 2)};
+  return {std::move(what), std::move(how), quantile(values, 0.5),
+          quantile(values, (1 - kEstimateCoverage) / 2), quantile(values, (1 + kEstimateCoverage) / 2)};
 }
 
 struct Worker {
@@ -40,8 +40,8 @@
 
 }  // namespace
 
-Fitted fit(const record::Recording& r) {
-  Fitted f;
+FittedDay fit(const record::Recording& r) {
+  FittedDay f;
   config::Findings findings;
   if (!r.header.day.empty()) {
     f.day = script::read_day(r.header.day, "the recorded day", findings);
@@ -59,8 +59,8 @@
   std::map<std::int64_t, double> taken;  // by second
   std::vector<script::Trouble> troubles;
   std::optional<std::int64_t> first, last_t;
-  std::size_t unread = 0;
-  const auto trouble = [&](script::TroubleKind kind, const Worker& w, Instant from, Instant to) {
+  std::size_t unreadable_steps = 0;
+  const auto add_trouble = [&](script::TroubleKind kind, const Worker& w, Instant from, Instant to) {
     script::Trouble t;
     t.name = "recorded", t.kind = kind, t.zone = core.zones[w.zone], t.count = 1;
     t.at = from - Instant{} - Span::micros(*first), t.lasts = to - from;
@@ -71,13 +71,13 @@
     last_t = step.t;
     const auto decoded = record::decode(step.inputs, Instant{});
     if (!std::holds_alternative<std::vector<coordinator::Input>>(decoded)) {
-      ++unread;
+      ++unreadable_steps;
       continue;
     }
     const Instant now = Instant{} + Span::micros(step.t);
     for (const auto& input : std::get<std::vector<coordinator::Input>>(decoded)) {
       if (const auto* roster = std::get_if<coordinator::RosterUpdate>(&input)) {
-        // Ids as the core gives them: in the order in which names first came.
+        // The coordinator assigns ids in the order in which names first appear.
         for (const auto& e : roster->entries) {
           const auto [it, fresh] = ids.try_emplace(e.name, BackendId{next_id});
           if (fresh) ++next_id;
@@ -98,10 +98,10 @@
                 static_cast<double>(c.taken - (was == w.last->counts.end() ? 0 : was->taken));
             if (succeeded == 0 || succeeded > 1U << 30U || c.operation.value >= work.size()) continue;
             done += static_cast<double>(succeeded);
-            if (load->sample.util.value_or(1) < kIdle && load->sample.queue.value_or(1) == 0)
+            if (load->sample.util.value_or(1) < kIdleUtilization && load->sample.queue.value_or(1) == 0)
               work[c.operation.value].push_back(latency / static_cast<double>(succeeded));
           }
-          if (load->sample.util.value_or(0) > kBusy && over > 0)
+          if (load->sample.util.value_or(0) > kBusyUtilization && over > 0)
             w.capacity.push_back(done / over / *load->sample.util);
         }
         w.last = load->sample, w.at = now;
@@ -110,27 +110,28 @@
         if (health->health == coordinator::Health::refused && !w.down) w.down = now;
         if (health->health == coordinator::Health::failed && !w.hung && !w.down) w.hung = now;
         if (health->health == coordinator::Health::passed) {
-          if (w.down) trouble(script::TroubleKind::crash, w, *w.down, now);
-          // One lost call is no trouble; a second of them is.
-          if (w.hung && now - *w.hung > Span::seconds(1)) trouble(script::TroubleKind::hang, w, *w.hung, now);
+          if (w.down) add_trouble(script::TroubleKind::crash, w, *w.down, now);
+          // A single lost health check doesn't count as a hang; failures for over 1 s do.
+          if (w.hung && now - *w.hung > Span::seconds(1))
+            add_trouble(script::TroubleKind::hang, w, *w.hung, now);
           w.down.reset(), w.hung.reset();
         }
       }
     }
   }
   if (workers.empty() || !first || *last_t == *first)
-    throw std::runtime_error{"the recording has neither a day's script nor what was heard of workers"};
+    throw std::runtime_error{"the recording has neither a script of the day nor inputs from workers"};
   const Instant end = Instant{} + Span::micros(*last_t);
   for (auto& [id, w] : workers) {
-    if (w.down) trouble(script::TroubleKind::crash, w, *w.down, end);
+    if (w.down) add_trouble(script::TroubleKind::crash, w, *w.down, end);
     if (w.hung && end - *w.hung > Span::seconds(1)) {
-      trouble(script::TroubleKind::hang, w, *w.hung, end);
-      f.unknown.push_back(
-          w.name +
-          " took invocations and answered none: their work is unknown, the operation's own is assumed");
+      add_trouble(script::TroubleKind::hang, w, *w.hung, end);
+      f.assumptions.push_back(
+          w.name + " accepted invocations and answered none; the usual work of the operation is assumed");
     }
   }
-  if (unread > 0) f.unknown.push_back(fmt::format("{} steps without what was heard in them", unread));
+  if (unreadable_steps > 0)
+    f.assumptions.push_back(fmt::format("{} steps without readable inputs", unreadable_steps));
   script::Day& d = f.day;
   d.name = r.header.name, d.zones = core.zones, d.length = Span::micros(*last_t - *first),
   d.settle = Span::seconds(1);
@@ -138,10 +139,11 @@
     const auto& op = core.operations[k];
     constexpr const char* effects[] = {"idempotent", "fingerprinted", "side-effecting"};
     const auto e = estimate("work of " + op.name + ", s",
-                            "latency of succeeded ones at workers that were under half busy", work[k]);
+                            "latency of succeeded invocations at workers below 50% utilization", work[k]);
     if (work[k].empty())
-      f.unknown.push_back("work of " + op.name +
-                          ": never seen at an idle worker; a tenth of its latency objective is assumed");
+      f.assumptions.push_back(
+          "work of " + op.name +
+          ": not observed at an idle worker; a tenth of its latency objective is assumed");
     double share = 0;
     for (const auto& [id, w] : workers)
       if (w.last)
@@ -162,11 +164,11 @@
       if (w.zone == z) ++count, capacity.insert(capacity.end(), w.capacity.begin(), w.capacity.end());
     if (count == 0) continue;
     auto e = estimate("cores of a worker in " + core.zones[z],
-                      "invocations a second over use of processors, times their work", capacity);
+                      "invocations per second over utilization, times their work", capacity);
     e.value *= mean_work, e.low *= mean_work, e.high *= mean_work;
     if (capacity.empty())
-      f.unknown.push_back("capacity in " + core.zones[z] +
-                          ": never busy enough to tell; two cores are assumed"),
+      f.assumptions.push_back("capacity in " + core.zones[z] +
+                              ": not busy enough for an estimate; two cores are assumed"),
           e = {e.what, "assumed", 2, 1, 8};
     script::DayWorkers w;
     w.zone = core.zones[z], w.count = std::min(count, 250), w.cores = std::max(1.0, std::round(e.value)),
@@ -183,7 +185,7 @@
     c.rate = std::max(0.01, mean_rate / 8 / static_cast<double>(core.zones.size()));
     d.clients.push_back(c);
   }
-  f.unknown.emplace_back("who asked: eight clients a zone, of equal parts");
+  f.assumptions.emplace_back("clients: eight per zone with equal rates are assumed");
   for (std::int64_t t = *first / 1'000'000; t <= *last_t / 1'000'000; t += 5) {
     double n = 0;
     for (std::int64_t k = t; k < t + 5; ++k) n += taken.contains(k) ? taken[k] : 0;
@@ -211,7 +213,7 @@
   std::map<std::string, double> zones;
   double all = 0;
   for (const auto& i : r.invocations) {
-    // Operations by name: the recording numbers them as they came.
+    // Matched by name, because the numbers in the recording follow the order of appearance.
     const std::string name = i.operation < r.operations.size() ? r.operations[i.operation] : "";
     for (std::size_t k = 0; k < day.operations.size(); ++k) {
       if (day.operations[k].name != name) continue;
--- a/src/lab/replay/fit.hpp
+++ b/src/lab/replay/fit.hpp
@@ -1,5 +1,5 @@
-// From a recording to a day that the world can play. What was scripted is taken as it was; what was only
-// recorded is estimated, each figure with how, and between what it may lie.
+// Turns a recording into a day for the simulator. A scripted day is taken over as it is; otherwise the day is
+// estimated from the recorded inputs, each figure with its method and its range.
 #pragma once
 
 #include <string>
@@ -14,17 +14,17 @@
   std::string what, how;
   double value = 0, low = 0, high = 0;
 };
-struct Fitted {
+struct FittedDay {
   script::Day day;
   bool scripted = false;
   std::vector<Estimate> estimates;
-  std::vector<std::string> unknown;  // what the recording can't tell, and what is assumed for it
+  std::vector<std::string> assumptions;  // what the recording doesn't contain, and what is assumed instead
 };
-// Throws std::runtime_error with what is missing.
-[[nodiscard]] Fitted fit(const record::Recording& recording);
+// Throws std::runtime_error if the recording lacks the data or holds invalid settings.
+[[nodiscard]] FittedDay fit(const record::Recording& recording);
 
-// How far a played day is from the recorded one. Matched: the service count within 0.03 and each zone's part
-// of the work within 0.1; else a what-if on it is marked.
+// Compares a simulated day with the recorded one. They match if the service differs by at most 0.03 and each
+// zone's share of the tries by at most 0.1; what-if results without a match are marked as such.
 struct Calibration {
   struct Row {
     std::string what;
@@ -37,7 +37,7 @@
 [[nodiscard]] Calibration calibrate(const record::Recording& recording, const script::Day& day,
                                     const Outcome& played);
 
-// Of a day that was played, as a recording: for other tools, and for tests.
+// The invocations of a simulated day as a recording, for other tools and for tests.
 [[nodiscard]] record::Recording recording_of(const script::Day& day, const std::string& day_text,
                                              const Outcome& outcome);
 
--- a/src/lab/replay/settings.hpp
+++ b/src/lab/replay/settings.hpp
@@ -1,4 +1,4 @@
-// Settings for a replay: those that a day implies, or a file's, with single values put in their place.
+// Settings for a replay: those that a day implies or those of a file, with single values overridden.
 #pragma once
 
 #include <string>
@@ -10,17 +10,18 @@
 namespace gorsemount::lab {
 
 // `block.name=value`, such as rules.drain_grace=2s or coordinator.levels=share. Throws std::runtime_error
-// that names what of it is not understood.
+// if the text has another form.
 struct Override {
   std::string block, name, value;
 };
 [[nodiscard]] Override read_override(const std::string& text);
 
-// The text with the value in place. Blocks without labels only.
-[[nodiscard]] std::string put(std::string text, const Override& change);
+// Sets the value in the text of a settings file. Supports only blocks without labels.
+[[nodiscard]] std::string apply_override(std::string text, const Override& change);
 
-// Coordinator `number` of the day: by `config` (the text of a settings file; empty: what the day implies)
-// with the changes. Who is there is the day's in any case. Throws std::runtime_error with the fault's place.
+// Settings of coordinator `number` of the day, from `config` (text of a settings file; empty: the settings
+// that the day implies) with the changes. Zones, groups, forwarders, operations, the seed and the number of
+// coordinators always come from the day. Throws std::runtime_error with the position of a fault.
 [[nodiscard]] coordinator::Settings settings_for(const script::Day& day, std::size_t number,
                                                  const std::string& config,
                                                  const std::vector<Override>& changes);
--- a/src/lab/replay/same.cpp
+++ b/src/lab/replay/step_replay.cpp
@@ -1,4 +1,4 @@
-#include "lab/replay/same.hpp"
+#include "lab/replay/step_replay.hpp"
 
 #include <fmt/format.h>
 #include <xxhash.h>
@@ -14,7 +14,7 @@
 
 namespace {
 
-std::string first_line_that_differs(const std::string& a, const std::string& b) {
+std::string first_differing_line(const std::string& a, const std::string& b) {
   std::istringstream x{a}, y{b};
   std::string p, q;
   for (std::size_t n = 1;; ++n) {
@@ -30,21 +30,21 @@
 
 }  // namespace
 
-SameOrders same_orders(const record::Recording& r) {
+StepReplay replay_steps(const record::Recording& r) {
   config::Findings findings;
   const auto settings = config::read_settings(r.header.settings, "the recorded settings", findings);
   if (!findings.faults.empty()) throw std::runtime_error{findings.faults.front().text()};
-  SameOrders result;
+  StepReplay result;
   for (const auto& m : r.missing)
     if (m.find("beginning") != std::string::npos) {
-      result.stopped = "the recording does not begin where the coordinator began";
+      result.stopped = "the recording does not begin at the start of the coordinator";
       return result;
     }
   coordinator::Coordinator core{settings.core, coordinator::policy_decision_maker(settings.core)};
   for (std::size_t k = 0; k < r.steps.size(); ++k) {
     const auto& step = r.steps[k];
     if (step.inputs.empty()) {
-      result.stopped = fmt::format("step {} was recorded without what was heard", k);
+      result.stopped = fmt::format("step {} was recorded without its inputs", k);
       break;
     }
     const auto inputs = record::decode(step.inputs, Instant{});
@@ -56,9 +56,9 @@
     ++result.compared;
     if (XXH3_64bits(orders.data(), orders.size()) == step.digest) continue;
     result.difference = fmt::format(
-        "step {} at {:.6f} s ordered otherwise: {}\n  its input: {} bytes of {} inputs", k,
+        "step {} at {:.6f} s gives different orders: {}\n  its input: {} bytes of {} inputs", k,
         static_cast<double>(step.t) / 1e6,
-        step.orders.empty() ? "(its words were not kept)" : first_line_that_differs(step.orders, orders),
+        step.orders.empty() ? "(its text was not recorded)" : first_differing_line(step.orders, orders),
         step.inputs.size(), std::get<std::vector<coordinator::Input>>(inputs).size());
     break;
   }
--- a/src/lab/replay/windows.cpp
+++ b/src/lab/replay/windows.cpp
@@ -16,11 +16,10 @@
 
 namespace {
 
-// After the last of a trouble: a ladder's longest hold and its climb (docs/store.md). Later the day is as it
-// was.
-const Span kAfter = Span::seconds(80 + 120);
-// Of a stratum at the least: one window says nothing of how windows differ.
-constexpr std::size_t kLeast = 2;
+// The longest hold of a ladder and its climb (docs/store.md). Later, a trouble has no more effect.
+const Span kAfterEffects = Span::seconds(80 + 120);
+// A single window gives no estimate of the variance within its stratum.
+constexpr std::size_t kMinWindowsPerStratum = 2;
 
 double rate_at(const script::Day& day, Span at) {
   double rate = 1;
@@ -29,12 +28,12 @@
   return rate;
 }
 
-bool happens(const script::Day& day, Span from, Span to) {
-  const auto meets = [&](Span at, Span lasts) { return at < to && at + lasts + kAfter > from; };
+bool is_eventful(const script::Day& day, Span from, Span to) {
+  const auto overlaps = [&](Span at, Span lasts) { return at < to && at + lasts + kAfterEffects > from; };
   for (const auto& t : day.troubles)
-    if (meets(t.at, t.lasts)) return true;
+    if (overlaps(t.at, t.lasts)) return true;
   for (const auto& k : day.kills)
-    if (meets(k.at, k.lasts)) return true;
+    if (overlaps(k.at, k.lasts)) return true;
   for (const auto& p : day.phases)
     if (p.at > from && p.at < to) return true;
   return false;
@@ -56,7 +55,7 @@
   std::map<double, std::vector<std::size_t>> quiet;  // by rate
   for (Span from; from < end; from = from + plan.length) {
     const Span to = std::min(end, from + plan.length);
-    const bool eventful = happens(day, from, to);
+    const bool eventful = is_eventful(day, from, to);
     if (eventful && !all.empty() && all.back().eventful) {
       all.back().to = to;
       continue;
@@ -70,7 +69,8 @@
   for (auto& [rate, places] : quiet) {
     ++stratum;
     const auto wanted =
-        std::max(kLeast, static_cast<std::size_t>(std::ceil(plan.part * static_cast<double>(places.size()))));
+        std::max(kMinWindowsPerStratum,
+                 static_cast<std::size_t>(std::ceil(plan.part * static_cast<double>(places.size()))));
     const std::size_t n = std::min(wanted, places.size());
     const double stands_for = static_cast<double>(places.size()) / static_cast<double>(n);
     std::shuffle(places.begin(), places.end(), chance);
@@ -85,7 +85,7 @@
   return played;
 }
 
-script::Day day_of(const script::Day& day, const Window& w, Span warm) {
+script::Day window_day(const script::Day& day, const Window& w, Span warm) {
   script::Day piece = day;
   const Span start = w.from > warm ? w.from - warm : Span{}, end = w.to + day.settle;
   piece.length = end - start;
@@ -93,31 +93,31 @@
   piece.phases.push_back({"window", Span{}, rate_at(day, start)});
   for (auto p : day.phases)
     if (p.at > start && p.at < end) p.at = p.at - start, piece.phases.push_back(p);
-  const auto placed = [&](auto it) {
+  const auto shifted = [&](auto it) {
     if (it.at < start) it.lasts = it.lasts - (start - it.at), it.at = start;
     it.at = it.at - start;
     return it;
   };
   const auto within = [&](const auto& it) { return it.at < end && it.at + it.lasts > start; };
   for (const auto& t : day.troubles)
-    if (within(t)) piece.troubles.push_back(placed(t));
+    if (within(t)) piece.troubles.push_back(shifted(t));
   for (const auto& k : day.kills)
-    if (within(k)) piece.kills.push_back(placed(k));
+    if (within(k)) piece.kills.push_back(shifted(k));
   return piece;
 }
 
-script::Day thinned(const script::Day& day, int times) {
+script::Day scaled_down(const script::Day& day, int times) {
   script::Day thin = day;
-  const auto less = [times](int& n, const std::string& what) {
+  const auto divide = [times](int& n, const std::string& what) {
     if (n == 0) return;
     if (n < times)
-      throw std::runtime_error{fmt::format("{} are {}: not enough to be thinned {} times", what, n, times)};
+      throw std::runtime_error{fmt::format("{} are {}: too few to divide by {}", what, n, times)};
     n = static_cast<int>(std::lround(static_cast<double>(n) / times));
   };
-  for (auto& w : thin.workers) less(w.count, "workers of " + w.zone);
-  for (auto& c : thin.clients) less(c.count, "clients of " + c.zone), c.disobedient /= times;
+  for (auto& w : thin.workers) divide(w.count, "workers of " + w.zone);
+  for (auto& c : thin.clients) divide(c.count, "clients of " + c.zone), c.disobedient /= times;
   for (auto& f : thin.forwarders)
-    less(f.count, "forwarders of " + f.zone), less(f.clients, "callers of forwarders of " + f.zone);
+    divide(f.count, "forwarders of " + f.zone), divide(f.clients, "callers of forwarders of " + f.zone);
   for (auto& t : thin.troubles)
     if (t.count > 0)
       t.count = std::max(1, static_cast<int>(std::lround(static_cast<double>(t.count) / times)));
@@ -125,32 +125,32 @@
   return thin;
 }
 
-Difference ratio(const std::vector<Sampled>& rows) {
+Difference ratio_estimate(const std::vector<SampledWindow>& rows) {
   Difference d;
   double value = 0, asked = 0;
   for (const auto& r : rows) value += r.stands_for * r.value, asked += r.stands_for * r.asked;
   if (asked <= 0) return d;
   d.mean = value / asked;
-  std::map<std::size_t, std::vector<const Sampled*>> strata;
+  std::map<std::size_t, std::vector<const SampledWindow*>> strata;
   for (const auto& r : rows) strata[r.stratum].push_back(&r);
   double variance = 0;
   std::size_t degrees = 0;
   for (const auto& [stratum, in] : strata) {
     const double n = static_cast<double>(in.size()), all = n * in.front()->stands_for;
-    if (all - n < 0.5) continue;  // all were played
+    if (all - n < 0.5) continue;  // all windows were simulated
     double mean = 0, square = 0;
     for (const auto* r : in) mean += (r->value - d.mean * r->asked) / n;
     for (const auto* r : in) square += std::pow(r->value - d.mean * r->asked - mean, 2);
     variance += all * all * (1 - n / all) * square / (n - 1) / n;
     degrees += in.size() - 1;
   }
-  const double half = degrees > 0 ? t95(degrees) * std::sqrt(variance) / asked : 0;
+  const double half = degrees > 0 ? student_t95(degrees) * std::sqrt(variance) / asked : 0;
   d.low = d.mean - half, d.high = d.mean + half;
   return d;
 }
 
-WindowedDay play_windows(const script::Day& day, const std::vector<Variant>& variants, const WindowPlan& plan,
-                         int jobs, const WorldSettings& world, const std::function<void(double)>& progress) {
+WindowedDay run_windows(const script::Day& day, const std::vector<Variant>& variants, const WindowPlan& plan,
+                        int jobs, const WorldSettings& world, const std::function<void(double)>& progress) {
   WindowedDay result;
   result.windows = plan_windows(day, plan);
   result.whole = day.length;
@@ -159,25 +159,26 @@
                                                             std::vector<std::optional<Outcome>>(n));
   for (const auto& v : variants)
     for (std::size_t k = 1; k <= day.coordinators.size(); ++k)
-      static_cast<void>(settings_for(day, k, v.config, v.changes));  // faults now
+      static_cast<void>(
+          settings_for(day, k, v.config, v.changes));  // reports invalid settings before the first run
   std::vector<script::Day> pieces;
   for (const auto& w : result.windows)
-    pieces.push_back(day_of(day, w, plan.warm)), result.played = result.played + pieces.back().length;
+    pieces.push_back(window_day(day, w, plan.warm)), result.played = result.played + pieces.back().length;
   std::atomic<std::size_t> next = 0, done = 0;
-  std::mutex telling;
+  std::mutex progress_lock;
   const auto work = [&] {
     for (std::size_t k = next++; k < runs; k = next++) {
       const std::size_t v = k % variants.size(), w = k / variants.size();
       WorldSettings s = world;
-      s.seed = world.seed * 100'003 + w;  // a window's own, the same for all variants
+      s.seed = world.seed * 100'003 + w;  // each window has its services seed, shared by all variants
       s.count_from = std::min(plan.warm, result.windows[w].from);
       s.settings = [&day, &variant = variants[v]](std::size_t c) {
         return settings_for(day, c, variant.config, variant.changes);
       };
       Outcome o = World{pieces[w], std::move(s)}.run();
-      o.moments.clear(), o.latency.clear();  // many windows, and nobody reads these
+      o.moments.clear(), o.latency.clear();  // saves memory; the report doesn't use them
       outcomes[v][w] = std::move(o);
-      const std::lock_guard lock{telling};
+      const std::lock_guard lock{progress_lock};
       progress(static_cast<double>(++done) / static_cast<double>(runs));
     }
   };
@@ -186,10 +187,10 @@
   work();
   for (auto& t : threads) t.join();
   for (std::size_t v = 0; v < variants.size(); ++v) {
-    Windowed out;
+    VariantEstimate out;
     out.name = variants[v].name;
     out.by_operation.resize(day.operations.size()), out.by_zone.resize(day.zones.size());
-    std::vector<Sampled> own, beside;
+    std::vector<SampledWindow> services, differences;
     std::map<std::string, int> broken;
     for (std::size_t w = 0; w < n; ++w) {
       const Outcome& o = *outcomes[v][w];
@@ -200,12 +201,12 @@
       for (std::size_t k = 0; k < o.by_zone.size(); ++k)
         out.by_zone[k].add(scaled(o.by_zone[k], window.stands_for));
       out.worst_ten = std::min(out.worst_ten, o.worst_ten());
-      own.push_back({window.stratum, window.stands_for, o.whole.in_time, o.whole.asked});
-      beside.push_back({window.stratum, window.stands_for, o.whole.in_time - outcomes[0][w]->whole.in_time,
-                        o.whole.asked});
+      services.push_back({window.stratum, window.stands_for, o.whole.in_time, o.whole.asked});
+      differences.push_back({window.stratum, window.stands_for,
+                             o.whole.in_time - outcomes[0][w]->whole.in_time, o.whole.asked});
       for (const auto& rule : o.broken(pieces[w])) ++broken[rule];
     }
-    out.service = ratio(own), out.against_first = ratio(beside);
+    out.service = ratio_estimate(services), out.against_first = ratio_estimate(differences);
     for (const auto& [rule, times] : broken)
       out.broken.push_back(fmt::format("{} (in {} of {} windows)", rule, times, n));
     result.variants.push_back(std::move(out));
@@ -213,11 +214,11 @@
   return result;
 }
 
-std::string table(const script::Day& day, const WindowedDay& d) {
+std::string text_report(const script::Day& day, const WindowedDay& d) {
   std::size_t eventful = 0;
   for (const auto& w : d.windows) eventful += w.eventful ? 1 : 0;
   std::string text = fmt::format(
-      "{} windows, {} of them eventful; {:.0f} s played, warming up included, for {:.0f} s of the "
+      "{} windows, {} of them eventful; {:.0f} s played, warm-up included, for {:.0f} s of the "
       "day\n{:<34}",
       d.windows.size(), eventful, d.played.seconds(), d.whole.seconds(), "");
   for (const auto& v : d.variants) text += fmt::format(" {:>19}", v.name.substr(0, 19));
@@ -225,30 +226,32 @@
     text += fmt::format("\n  {:<32}", what.substr(0, 32));
     for (const auto& v : d.variants) text += fmt::format(" {:>19}", value(v));
   };
-  row("service", [](const Windowed& v) { return fmt::format("{:.5f}", v.service.mean); });
-  row("  95% interval, of the windows",
-      [](const Windowed& v) { return fmt::format("{:.5f} to {:.5f}", v.service.low, v.service.high); });
-  row("worst 10 s of those played", [](const Windowed& v) { return fmt::format("{:.5f}", v.worst_ten); });
+  row("service", [](const VariantEstimate& v) { return fmt::format("{:.5f}", v.service.mean); });
+  row("  95% interval, of the windows", [](const VariantEstimate& v) {
+    return fmt::format("{:.5f} to {:.5f}", v.service.low, v.service.high);
+  });
+  row("worst 10 s of those played",
+      [](const VariantEstimate& v) { return fmt::format("{:.5f}", v.worst_ten); });
   for (std::size_t k = 0; k < day.operations.size(); ++k)
     row("service of " + day.operations[k].name,
-        [&](const Windowed& v) { return fmt::format("{:.5f}", v.by_operation[k].service()); });
+        [&](const VariantEstimate& v) { return fmt::format("{:.5f}", v.by_operation[k].service()); });
   for (std::size_t k = 0; k < day.zones.size(); ++k)
     row("service of " + day.zones[k],
-        [&](const Windowed& v) { return fmt::format("{:.5f}", v.by_zone[k].service()); });
+        [&](const VariantEstimate& v) { return fmt::format("{:.5f}", v.by_zone[k].service()); });
   const auto lost = [&](const char* what, std::uint64_t Tally::*count) {
-    row(std::string{"lost: "} + what, [&](const Windowed& v) {
+    row(std::string{"lost: "} + what, [&](const VariantEstimate& v) {
       return fmt::format("{:.3f}%", 100.0 * static_cast<double>(v.whole.*count) /
                                         static_cast<double>(std::max<std::uint64_t>(1, v.whole.invocations)));
     });
   };
   lost("late", &Tally::late), lost("errored", &Tally::errored), lost("rate-limited", &Tally::limited),
       lost("no line", &Tally::no_line);
-  row("rules broken", [](const Windowed& v) { return std::to_string(v.broken.size()); });
+  row("rules broken", [](const VariantEstimate& v) { return std::to_string(v.broken.size()); });
   if (d.variants.size() > 1) {
-    row("differs from the first", [&](const Windowed& v) {
+    row("differs from the first", [&](const VariantEstimate& v) {
       return &v == &d.variants[0] ? "-" : fmt::format("{:+.5f}", v.against_first.mean);
     });
-    row("  95% interval", [&](const Windowed& v) {
+    row("  95% interval", [&](const VariantEstimate& v) {
       return &v == &d.variants[0] ? "-"
                                   : fmt::format("{:+.5f} {:+.5f}", v.against_first.low, v.against_first.high);
     });
--- a/src/lab/replay/windows.hpp
+++ b/src/lab/replay/windows.hpp
@@ -1,6 +1,6 @@
-// A long day in pieces: windows that something happens in are played whole, of the quiet ones a seeded
-// sample, and the count is an estimate that says how sure it is. Or a thinned day: the same with so many
-// times fewer of everything.
+// Shortens the simulation of a long day. Eventful windows are all simulated, quiet ones only in a seeded
+// sample, and the service is an estimate with a confidence interval. Alternatively the day is scaled down to
+// a fraction of its workers, clients, forwarders and lines.
 #pragma once
 
 #include <cstdint>
@@ -14,51 +14,51 @@
 
 struct WindowPlan {
   Span length = Span::seconds(600);
-  Span warm = Span::seconds(20);  // played before each window and not counted
-  double part = 1;                // of the quiet windows; 1: all of them
+  Span warm = Span::seconds(20);  // simulated before each window and not counted
+  double part = 1;                // fraction of the quiet windows to simulate
   std::uint64_t seed = 1;
 };
 struct Window {
   Span from, to;
   bool eventful = false;
-  std::size_t stratum = 0;  // quiet windows alike: of one rate
-  double stands_for = 1;    // windows, this one included
+  std::size_t stratum = 0;  // quiet windows of one rate share a stratum; 0: eventful
+  double stands_for = 1;    // number of windows that it represents, itself included
   bool operator==(const Window&) const = default;
 };
-// The windows to play, in the order of time. Neighbours in which something happens are one window: what a
-// trouble leaves behind is then played and not assumed.
+// The windows to simulate, in order of time. Adjacent eventful windows are merged, so that the after-effects
+// of a trouble are simulated too.
 [[nodiscard]] std::vector<Window> plan_windows(const script::Day& day, const WindowPlan& plan);
-// A day of its own: `warm` before the window, the window, and time for its last invocations to end. What
-// began before and still lasts begins with it.
-[[nodiscard]] script::Day day_of(const script::Day& day, const Window& window, Span warm);
-// `times` fewer workers, clients, forwarders and lines; each as busy as before. Throws std::runtime_error if
-// a block would be left with nobody.
-[[nodiscard]] script::Day thinned(const script::Day& day, int times);
+// A day for one window: `warm` before it, the window, and time for its last invocations to end. Troubles that
+// began earlier and still last begin at its start.
+[[nodiscard]] script::Day window_day(const script::Day& day, const Window& window, Span warm);
+// The day with numbers of workers, clients and forwarders and line limits divided by `times`, at the same
+// utilization. Throws std::runtime_error if a block would be left empty.
+[[nodiscard]] script::Day scaled_down(const script::Day& day, int times);
 
-struct Windowed {
+struct VariantEstimate {
   std::string name;
-  Tally whole;  // scaled to the whole day
+  Tally whole;  // extrapolated to the whole day
   std::vector<Tally> by_operation, by_zone;
-  Difference service, against_first;  // each with its 95% interval, of the sampling of windows alone
+  Difference service, against_first;  // with 95% intervals for the sampling of windows only
   double worst_ten = 1;
   std::vector<std::string> broken;
 };
 struct WindowedDay {
   std::vector<Window> windows;
-  std::vector<Windowed> variants;
-  Span played, whole;  // warming up included; of the day
+  std::vector<VariantEstimate> variants;
+  Span played, whole;  // simulated time with warm-up; length of the day
 };
-// The outcome is the same for any number of jobs. Throws std::runtime_error for settings that can't be.
-[[nodiscard]] WindowedDay play_windows(const script::Day& day, const std::vector<Variant>& variants,
-                                       const WindowPlan& plan, int jobs, const WorldSettings& world,
-                                       const std::function<void(double)>& progress);
-[[nodiscard]] std::string table(const script::Day& day, const WindowedDay& played);
+// The result does not depend on the number of jobs. Throws std::runtime_error for invalid settings.
+[[nodiscard]] WindowedDay run_windows(const script::Day& day, const std::vector<Variant>& variants,
+                                      const WindowPlan& plan, int jobs, const WorldSettings& world,
+                                      const std::function<void(double)>& progress);
+[[nodiscard]] std::string text_report(const script::Day& day, const WindowedDay& played);
 
-// A stratified sample's sum of `value` over the sum of `asked`, a row a window. Free of the world, for tests.
-struct Sampled {
+// Ratio estimate from a stratified sample, one row per window: the sum of `value` over the sum of `asked`.
+struct SampledWindow {
   std::size_t stratum = 0;
   double stands_for = 1, value = 0, asked = 0;
 };
-[[nodiscard]] Difference ratio(const std::vector<Sampled>& rows);
+[[nodiscard]] Difference ratio_estimate(const std::vector<SampledWindow>& rows);
 
 }  // namespace gorsemount::lab
--- a/src/record/codec.cpp
+++ b/src/record/codec.cpp
@@ -14,23 +14,23 @@
 
 namespace {
 
-std::int64_t at(Instant t, Instant base) { return (t - base).micros(); }
-Instant back(std::int64_t t, Instant base) { return base + Span::micros(t); }
+std::int64_t to_micros(Instant t, Instant base) { return (t - base).micros(); }
+Instant instant_from(std::int64_t t, Instant base) { return base + Span::micros(t); }
 
-json to(const RosterUpdate& e, Instant) {
+json to_json(const RosterUpdate& e, Instant) {
   json all = json::array();
   for (const auto& r : e.entries)
     all.push_back(
         {r.name, r.zone.value, r.at.text(), r.weight, static_cast<int>(r.availability), r.operations});
   return all;
 }
-json to(const LoadReport& e, Instant base) {
+json to_json(const LoadReport& e, Instant base) {
   json counts = json::array();
   for (const auto& c : e.sample.counts)
     counts.push_back(
         {c.operation.value, c.source.text(), c.taken, c.succeeded, c.errored, c.refused, c.latency});
   return {e.backend.value,
-          at(e.requested_at, base),
+          to_micros(e.requested_at, base),
           e.sample.boot,
           e.sample.uptime,
           e.sample.draining,
@@ -38,110 +38,113 @@
           e.sample.queue ? json(*e.sample.queue) : json(),
           counts};
 }
-json to(const LoadPollFailed& e, Instant) { return {e.backend.value, e.reason}; }
-json to(const HealthCheckResult& e, Instant) {
+json to_json(const LoadPollFailed& e, Instant) { return {e.backend.value, e.reason}; }
+json to_json(const HealthCheckResult& e, Instant) {
   return {e.backend.value, static_cast<int>(e.health), e.latency.micros()};
 }
-json to(const GroupLookup& e, Instant) { return {e.group.value}; }
-json to(const SettingsReloaded&, Instant) { return json::array(); }
-json to(const ForwarderJoined& e, Instant) { return {e.forwarder.value, e.taken_over, e.current_weights}; }
-json to(const ForwarderLeft& e, Instant) { return {e.forwarder.value}; }
-json to(const ForwarderReport& e, Instant) {
+json to_json(const GroupLookup& e, Instant) { return {e.group.value}; }
+json to_json(const SettingsReloaded&, Instant) { return json::array(); }
+json to_json(const ForwarderJoined& e, Instant) {
+  return {e.forwarder.value, e.taken_over, e.current_weights};
+}
+json to_json(const ForwarderLeft& e, Instant) { return {e.forwarder.value}; }
+json to_json(const ForwarderReport& e, Instant) {
   json rows = json::array(), arrived = json::array();
   for (const auto& r : e.rows)
     rows.push_back({r.backend.value, r.operation.value, r.tries, r.errored, r.mean_latency.micros()});
   for (const auto& [op, n] : e.arrived) arrived.push_back({op.value, n});
   return {e.forwarder.value, rows, arrived, e.further};
 }
-json to(const ForwarderAppliedTable& e, Instant) { return {e.forwarder.value, e.version}; }
-json to(const OperatorCommand& e, Instant) {
+json to_json(const ForwarderAppliedTable& e, Instant) { return {e.forwarder.value, e.version}; }
+json to_json(const OperatorCommand& e, Instant) {
   return {static_cast<int>(e.action), e.name, e.weight, e.lifetime.micros(), e.force};
 }
-json to(const FactsReceived& e, Instant base) {
+json to_json(const FactsReceived& e, Instant base) {
   const std::string bytes = recovery::encode(e.facts, base);
   return json::array({json::binary({bytes.begin(), bytes.end()}), e.from_previous_run});
 }
-json to(const GroupLeadership& e, Instant) { return {e.group.value, e.locally_led}; }
-json to(const LeaderTable& e, Instant) {
+json to_json(const GroupLeadership& e, Instant) { return {e.group.value, e.locally_led}; }
+json to_json(const LeaderTable& e, Instant) {
   json levels = json::array();
   for (const auto& [tries, level] : e.levels) levels.push_back({tries, level});
   return {e.group.value, e.fresh, e.lines, levels};
 }
 
 template <class Id>
-Id id(const json& j) {
+Id id_from(const json& j) {
   return Id{j.get<decltype(Id::value)>()};
 }
-Endpoint place(const json& j) {
+Endpoint endpoint_from(const json& j) {
   const auto e = Endpoint::parse(j.get<std::string>());
-  if (!e) throw std::runtime_error{"no address"};
+  if (!e) throw std::runtime_error{"invalid address"};
   return *e;
 }
-int within(const json& j, int most) {
+int bounded_int(const json& j, int most) {
   const int n = j.get<int>();
-  if (n < 0 || n > most) throw std::runtime_error{"a value out of range"};
+  if (n < 0 || n > most) throw std::runtime_error{"value out of range"};
   return n;
 }
-double finite(const json& j) {
+double finite_number(const json& j) {
   const double v = j.get<double>();
-  if (!std::isfinite(v)) throw std::runtime_error{"a figure that is none"};
+  if (!std::isfinite(v)) throw std::runtime_error{"number is not finite"};
   return v;
 }
 
-std::optional<Input> from(std::size_t kind, const json& j, Instant base) {
+std::optional<Input> input_from(std::size_t kind, const json& j, Instant base) {
   switch (kind) {
     case 0: {
       RosterUpdate e;
       for (const auto& r : j)
-        e.entries.push_back({r.at(0).get<std::string>(), id<ZoneId>(r.at(1)), place(r.at(2)), finite(r.at(3)),
-                             static_cast<Availability>(within(r.at(4), 2)), r.at(5).get<std::uint32_t>()});
+        e.entries.push_back({r.at(0).get<std::string>(), id_from<ZoneId>(r.at(1)), endpoint_from(r.at(2)),
+                             finite_number(r.at(3)), static_cast<Availability>(bounded_int(r.at(4), 2)),
+                             r.at(5).get<std::uint32_t>()});
       return e;
     }
     case 1: {
-      LoadReport e{id<BackendId>(j.at(0)), back(j.at(1).get<std::int64_t>(), base), {}};
+      LoadReport e{id_from<BackendId>(j.at(0)), instant_from(j.at(1).get<std::int64_t>(), base), {}};
       e.sample.boot = j.at(2).get<std::string>(), e.sample.uptime = j.at(3).get<double>(),
       e.sample.draining = j.at(4).get<bool>();
       if (!j.at(5).is_null()) e.sample.util = j.at(5).get<double>();
       if (!j.at(6).is_null()) e.sample.queue = j.at(6).get<double>();
       for (const auto& c : j.at(7)) {
         const auto source = Prefix::parse(c.at(1).get<std::string>());
-        if (!source) throw std::runtime_error{"no prefix"};
-        e.sample.counts.push_back({id<OperationId>(c.at(0)), *source, c.at(2).get<std::uint64_t>(),
+        if (!source) throw std::runtime_error{"invalid address prefix"};
+        e.sample.counts.push_back({id_from<OperationId>(c.at(0)), *source, c.at(2).get<std::uint64_t>(),
                                    c.at(3).get<std::uint64_t>(), c.at(4).get<std::uint64_t>(),
                                    c.at(5).get<std::uint64_t>(), c.at(6).get<double>()});
       }
       return e;
     }
     case 2:
-      return LoadPollFailed{id<BackendId>(j.at(0)), j.at(1).get<std::string>()};
+      return LoadPollFailed{id_from<BackendId>(j.at(0)), j.at(1).get<std::string>()};
     case 3:
-      return HealthCheckResult{id<BackendId>(j.at(0)), static_cast<Health>(within(j.at(1), 2)),
+      return HealthCheckResult{id_from<BackendId>(j.at(0)), static_cast<Health>(bounded_int(j.at(1), 2)),
                                Span::micros(j.at(2).get<std::int64_t>())};
     case 4:
-      return GroupLookup{id<ProxyId>(j.at(0))};
+      return GroupLookup{id_from<ProxyId>(j.at(0))};
     case 5:
       return {};
     case 6:
-      return ForwarderJoined{id<ProxyId>(j.at(0)), j.at(1).get<bool>(),
+      return ForwarderJoined{id_from<ProxyId>(j.at(0)), j.at(1).get<bool>(),
                              j.at(2).get<std::map<std::string, double>>()};
     case 7:
-      return ForwarderLeft{id<ProxyId>(j.at(0))};
+      return ForwarderLeft{id_from<ProxyId>(j.at(0))};
     case 8: {
-      ForwarderReport e{id<ProxyId>(j.at(0)),
+      ForwarderReport e{id_from<ProxyId>(j.at(0)),
                         {},
                         {},
-                        j.size() > 3 ? j.at(3).get<int>() : 0};  // older recordings end before it
+                        j.size() > 3 ? j.at(3).get<int>() : 0};  // absent in older recordings
       for (const auto& r : j.at(1))
-        e.rows.push_back({id<BackendId>(r.at(0)), id<OperationId>(r.at(1)), r.at(2).get<int>(),
+        e.rows.push_back({id_from<BackendId>(r.at(0)), id_from<OperationId>(r.at(1)), r.at(2).get<int>(),
                           r.at(3).get<int>(), Span::micros(r.at(4).get<std::int64_t>())});
-      for (const auto& a : j.at(2)) e.arrived.emplace_back(id<OperationId>(a.at(0)), a.at(1).get<int>());
+      for (const auto& a : j.at(2)) e.arrived.emplace_back(id_from<OperationId>(a.at(0)), a.at(1).get<int>());
       return e;
     }
     case 9:
-      return ForwarderAppliedTable{id<ProxyId>(j.at(0)), j.at(1).get<std::uint64_t>()};
+      return ForwarderAppliedTable{id_from<ProxyId>(j.at(0)), j.at(1).get<std::uint64_t>()};
     case 10:
-      return OperatorCommand{static_cast<OperatorCommand::Action>(within(j.at(0), 6)),
-                             j.at(1).get<std::string>(), finite(j.at(2)),
+      return OperatorCommand{static_cast<OperatorCommand::Action>(bounded_int(j.at(0), 6)),
+                             j.at(1).get<std::string>(), finite_number(j.at(2)),
                              Span::micros(j.at(3).get<std::int64_t>()), j.size() > 4 && j.at(4).get<bool>()};
     case 11: {
       const auto& bytes = j.at(0).get_binary();
@@ -150,15 +153,15 @@
       return FactsReceived{std::get<std::vector<recovery::Entry>>(std::move(facts)), j.at(1).get<bool>()};
     }
     case 12:
-      return GroupLeadership{id<ProxyId>(j.at(0)), j.at(1).get<bool>()};
+      return GroupLeadership{id_from<ProxyId>(j.at(0)), j.at(1).get<bool>()};
     case 13: {
       LeaderTable e{
-          id<ProxyId>(j.at(0)), j.at(1).get<bool>(), j.at(2).get<std::map<std::string, double>>(), {}};
-      for (const auto& l : j.at(3)) e.levels.emplace_back(l.at(0).get<int>(), finite(l.at(1)));
+          id_from<ProxyId>(j.at(0)), j.at(1).get<bool>(), j.at(2).get<std::map<std::string, double>>(), {}};
+      for (const auto& l : j.at(3)) e.levels.emplace_back(l.at(0).get<int>(), finite_number(l.at(1)));
       return e;
     }
     default:
-      throw std::runtime_error{"a kind of input that this version does not know"};
+      throw std::runtime_error{"unknown kind of input"};
   }
 }
 
@@ -168,7 +171,7 @@
   json all = json::array();
   for (const auto& input : inputs) {
     all.push_back(input.index());
-    all.push_back(std::visit([&](const auto& e) { return to(e, base); }, input));
+    all.push_back(std::visit([&](const auto& e) { return to_json(e, base); }, input));
   }
   std::string bytes;
   json::to_msgpack(all, nlohmann::detail::output_adapter<char>(bytes));
@@ -181,7 +184,8 @@
     const json all = json::from_msgpack(bytes.begin(), bytes.end());
     if (!all.is_array() || all.size() % 2 != 0) return std::string{"not a list of inputs"};
     for (std::size_t k = 0; k < all.size(); k += 2)
-      if (auto input = from(all[k].get<std::size_t>(), all[k + 1], base)) inputs.push_back(std::move(*input));
+      if (auto input = input_from(all[k].get<std::size_t>(), all[k + 1], base))
+        inputs.push_back(std::move(*input));
   } catch (const std::exception& fault) {
     return "input " + std::to_string(inputs.size()) + ": " + fault.what();
   }
--- a/src/record/codec.hpp
+++ b/src/record/codec.hpp
@@ -1,4 +1,4 @@
-// A coordinator's inputs to bytes and back (MessagePack), and its effects as text: what a recording holds.
+// Encodes and decodes a coordinator's inputs (MessagePack) and writes its effects as text, for recordings.
 #pragma once
 
 #include <string>
@@ -10,14 +10,15 @@
 
 namespace gorsemount::record {
 
-// Instants are written as micros from `base`.
+// Instants are encoded as microseconds since `base`.
 [[nodiscard]] std::string encode(const std::vector<coordinator::Input>& inputs, Instant base);
-// In place of inputs: what is wrong with the bytes. Settings of a reload are not carried: `SettingsReloaded`
-// is passed over.
+// Returns the inputs, or an error text if the bytes are invalid. Reloaded settings are not recorded, so
+// `SettingsReloaded` inputs are skipped.
 [[nodiscard]] std::variant<std::vector<coordinator::Input>, std::string> decode(std::string_view bytes,
                                                                                 Instant base);
 
-// Everything that a step ordered, in words: messages, deliveries, what was published, answers to people.
+// All effects of a step as text: messages, deliveries, the published table, answers to operators, log events
+// and the next wakeup. The digest of a step is computed over this text, so its format must not change.
 [[nodiscard]] std::string text_of(const coordinator::Effects& effects, Instant base);
 
 }  // namespace gorsemount::record
--- a/src/record/file.cpp
+++ b/src/record/file.cpp
@@ -15,9 +15,9 @@
 
 constexpr hsize_t kChunkRows = 8192;
 constexpr hsize_t kChunkBytes = 64U << 10U;
-constexpr unsigned kDeflate = 4;  // beyond it files of loopback days shrink by under 2%
+constexpr unsigned kDeflateLevel = 4;  // higher levels shrink files of loopback days by less than 2%
 
-// An HDF5 handle.
+// Owns an HDF5 handle.
 class Handle {
  public:
   Handle() = default;
@@ -65,59 +65,61 @@
   throw std::runtime_error{file + ": " + what};
 }
 
-// One column that only grows. Rows wait till a chunk is full or a flush comes.
+// An append-only column. Rows are buffered until a chunk is full or the column is flushed.
 template <class T>
 class Column {
  public:
   Column(hid_t file, const std::string& path, hsize_t chunk) : path_{path}, chunk_{chunk} {
     const hsize_t none = 0, any = H5S_UNLIMITED;
     const Handle space{H5Screate_simple(1, &none, &any), H5Sclose};
-    const Handle how{H5Pcreate(H5P_DATASET_CREATE), H5Pclose}, links{H5Pcreate(H5P_LINK_CREATE), H5Pclose};
+    const Handle properties{H5Pcreate(H5P_DATASET_CREATE), H5Pclose},
+        links{H5Pcreate(H5P_LINK_CREATE), H5Pclose};
     H5Pset_create_intermediate_group(links.get(), 1);
-    H5Pset_chunk(how.get(), 1, &chunk);
-    if (sizeof(T) > 1) H5Pset_shuffle(how.get());
-    H5Pset_deflate(how.get(), kDeflate);
-    H5Pset_fletcher32(how.get());
-    set_ =
-        Handle{H5Dcreate2(file, path.c_str(), type_of<T>(), space.get(), links.get(), how.get(), H5P_DEFAULT),
-               H5Dclose};
-    if (!set_) throw std::runtime_error{path + " can't be made"};
+    H5Pset_chunk(properties.get(), 1, &chunk);
+    if (sizeof(T) > 1) H5Pset_shuffle(properties.get());
+    H5Pset_deflate(properties.get(), kDeflateLevel);
+    H5Pset_fletcher32(properties.get());
+    dataset_ = Handle{
+        H5Dcreate2(file, path.c_str(), type_of<T>(), space.get(), links.get(), properties.get(), H5P_DEFAULT),
+        H5Dclose};
+    if (!dataset_) throw std::runtime_error{path + " can't be created"};
   }
   void add(T value) {
-    waiting_.push_back(value);
-    if (waiting_.size() >= chunk_) write();
+    buffered_.push_back(value);
+    if (buffered_.size() >= chunk_) write();
   }
   void add(const std::string& bytes) requires std::is_same_v<T, std::uint8_t> {
-    waiting_.insert(waiting_.end(), bytes.begin(), bytes.end());
-    if (waiting_.size() >= chunk_) write();
+    buffered_.insert(buffered_.end(), bytes.begin(), bytes.end());
+    if (buffered_.size() >= chunk_) write();
   }
-  [[nodiscard]] std::uint64_t size() const { return written_ + waiting_.size(); }
+  [[nodiscard]] std::uint64_t size() const { return written_ + buffered_.size(); }
   void write() {
-    if (waiting_.empty()) return;
-    const hsize_t from = written_, n = waiting_.size(), all = from + n;
-    if (H5Dset_extent(set_.get(), &all) < 0) throw std::runtime_error{path_ + " can't grow"};
-    const Handle there{H5Dget_space(set_.get()), H5Sclose}, here{H5Screate_simple(1, &n, nullptr), H5Sclose};
+    if (buffered_.empty()) return;
+    const hsize_t from = written_, n = buffered_.size(), all = from + n;
+    if (H5Dset_extent(dataset_.get(), &all) < 0) throw std::runtime_error{path_ + " can't be extended"};
+    const Handle there{H5Dget_space(dataset_.get()), H5Sclose},
+        here{H5Screate_simple(1, &n, nullptr), H5Sclose};
     H5Sselect_hyperslab(there.get(), H5S_SELECT_SET, &from, nullptr, &n, nullptr);
-    if (H5Dwrite(set_.get(), type_of<T>(), here.get(), there.get(), H5P_DEFAULT, waiting_.data()) < 0)
+    if (H5Dwrite(dataset_.get(), type_of<T>(), here.get(), there.get(), H5P_DEFAULT, buffered_.data()) < 0)
       throw std::runtime_error{path_ + " can't be written"};
     written_ = all;
-    waiting_.clear();
+    buffered_.clear();
   }
   void flush() {
     write();
-    if (H5Dflush(set_.get()) < 0) throw std::runtime_error{path_ + " can't be flushed"};
+    if (H5Dflush(dataset_.get()) < 0) throw std::runtime_error{path_ + " can't be flushed"};
   }
 
  private:
   std::string path_;
   hsize_t chunk_, written_ = 0;
-  Handle set_;
-  std::vector<T> waiting_;
+  Handle dataset_;
+  std::vector<T> buffered_;
 };
 
-void quiet() { H5Eset_auto2(H5E_DEFAULT, nullptr, nullptr); }
+void disable_hdf5_error_output() { H5Eset_auto2(H5E_DEFAULT, nullptr, nullptr); }
 
-void put(hid_t file, const char* name, std::int64_t value) {
+void write_attribute(hid_t file, const char* name, std::int64_t value) {
   const Handle space{H5Screate(H5S_SCALAR), H5Sclose};
   const Handle a{H5Acreate2(file, name, H5T_STD_I64LE, space.get(), H5P_DEFAULT, H5P_DEFAULT), H5Aclose};
   H5Awrite(a.get(), H5T_NATIVE_INT64, &value);
@@ -127,23 +129,24 @@
 
 struct Writer::State {
   State(const std::string& name, const Header& h) : file_name{name}, file{open(name)} {
-    put(file.get(), "schema", h.schema), put(file.get(), "began_wall_us", h.began_wall);
+    write_attribute(file.get(), "schema", h.schema),
+        write_attribute(file.get(), "began_wall_us", h.began_wall);
     settings.add(h.settings), day.add(h.day);
     names.add(nlohmann::json{{"kind", "coordinator"}, {"number", 0}, {"name", h.name}}.dump() + "\n");
-    if (H5Fstart_swmr_write(file.get()) < 0) fail(name, "can't be written for readers that follow");
+    if (H5Fstart_swmr_write(file.get()) < 0) fail(name, "can't be switched to SWMR mode");
     flush();
   }
   static Handle open(const std::string& name) {
-    quiet();
-    const Handle how{H5Pcreate(H5P_FILE_ACCESS), H5Pclose};
-    H5Pset_libver_bounds(how.get(), H5F_LIBVER_V110, H5F_LIBVER_V110);
-    Handle made{H5Fcreate(name.c_str(), H5F_ACC_TRUNC, H5P_DEFAULT, how.get()), H5Fclose};
-    if (!made) fail(name, "can't be made");
+    disable_hdf5_error_output();
+    const Handle properties{H5Pcreate(H5P_FILE_ACCESS), H5Pclose};
+    H5Pset_libver_bounds(properties.get(), H5F_LIBVER_V110, H5F_LIBVER_V110);
+    Handle made{H5Fcreate(name.c_str(), H5F_ACC_TRUNC, H5P_DEFAULT, properties.get()), H5Fclose};
+    if (!made) fail(name, "can't be created");
     return made;
   }
   void flush() {
     try {
-      // Bytes before the rows that speak of them.
+      // Bytes are flushed before the rows that refer to them.
       inputs.flush(), orders.flush(), settings.flush(), day.flush(), names.flush(), missing.flush();
       t.flush(), inputs_end.flush(), orders_end.flush(), digest.flush();
       came.flush(), took.flush(), operation.flush(), proxy.flush(), worker.flush(), outcome.flush(),
@@ -180,7 +183,7 @@
   try {
     state_->flush();
   } catch (const std::exception&) {
-    // Said by the last flush that somebody asked for.
+    // A destructor can't report it; explicit flushes throw.
   }
 }
 
@@ -192,7 +195,8 @@
   s.bytes += 32 + row.inputs.size() + row.orders.size();
 }
 
-// Times in steps of 0.1 ms, and as differences: what compresses. Nobody's latency is known better than that.
+// Times are stored in units of 0.1 ms, and start times as differences, because that compresses well.
+// Latencies are not measured more precisely.
 void Writer::invocation(const InvocationRow& row) {
   State& s = *state_;
   const std::int64_t came = row.came / 100;
@@ -215,14 +219,14 @@
 
 class Reader {
  public:
-  Reader(std::string name, std::uint64_t most) : name_{std::move(name)}, left_{most} {
-    quiet();
-    // A writer may be at it, or may have died at it.
-    const Handle how{H5Pcreate(H5P_FILE_ACCESS), H5Pclose};
-    H5Pset_metadata_read_attempts(how.get(), 1);  // what is damaged does not mend by waiting
-    file_ = Handle{H5Fopen(name_.c_str(), H5F_ACC_RDONLY | H5F_ACC_SWMR_READ, how.get()), H5Fclose};
+  Reader(std::string name, std::uint64_t most) : name_{std::move(name)}, remaining_bytes_{most} {
+    disable_hdf5_error_output();
+    // The file may still be open for writing, or its writer may have crashed.
+    const Handle properties{H5Pcreate(H5P_FILE_ACCESS), H5Pclose};
+    H5Pset_metadata_read_attempts(properties.get(), 1);  // a retry does not repair a damaged file
+    file_ = Handle{H5Fopen(name_.c_str(), H5F_ACC_RDONLY | H5F_ACC_SWMR_READ, properties.get()), H5Fclose};
     if (!file_) file_ = Handle{H5Fopen(name_.c_str(), H5F_ACC_RDONLY, H5P_DEFAULT), H5Fclose};
-    if (!file_) fail(name_, "not an HDF5 file, or cut off before its head was whole");
+    if (!file_) fail(name_, "not an HDF5 file, or truncated within its header");
   }
   [[nodiscard]] std::int64_t number(const char* name) const {
     const Handle a{H5Aopen(file_.get(), name, H5P_DEFAULT), H5Aclose};
@@ -232,29 +236,30 @@
     return value;
   }
   template <class T>
-  std::vector<T> column(const std::string& path, bool must = true) {
-    const Handle set{H5Dopen2(file_.get(), path.c_str(), H5P_DEFAULT), H5Dclose};
-    if (!set) {
-      if (must) fail(name_, "column " + path + " is missing");
+  std::vector<T> column(const std::string& path, bool required = true) {
+    const Handle dataset{H5Dopen2(file_.get(), path.c_str(), H5P_DEFAULT), H5Dclose};
+    if (!dataset) {
+      if (required) fail(name_, "column " + path + " is missing");
       return {};
     }
-    const Handle space{H5Dget_space(set.get()), H5Sclose};
+    const Handle space{H5Dget_space(dataset.get()), H5Sclose};
     hsize_t n = 0;
     if (H5Sget_simple_extent_ndims(space.get()) != 1)
-      fail(name_, "column " + path + " has not one dimension");
+      fail(name_, "column " + path + " is not one-dimensional");
     H5Sget_simple_extent_dims(space.get(), &n, nullptr);
-    if (n > left_ / sizeof(T))
-      fail(name_, "column " + path + " announces " + std::to_string(n) + " rows, more than may be read");
-    left_ -= n * sizeof(T);
+    if (n > remaining_bytes_ / sizeof(T))
+      fail(name_,
+           "column " + path + " declares " + std::to_string(n) + " rows, which exceeds the memory limit");
+    remaining_bytes_ -= n * sizeof(T);
     std::vector<T> rows;
-    // By chunk, so that the place of a damage can be told.
+    // Read in parts, so that the position of damage can be reported.
     constexpr hsize_t kPart = 1U << 16U;
     for (hsize_t from = 0; from < n; from += kPart) {
       const hsize_t part = std::min(kPart, n - from);
       rows.resize(from + part);
       H5Sselect_hyperslab(space.get(), H5S_SELECT_SET, &from, nullptr, &part, nullptr);
       const Handle here{H5Screate_simple(1, &part, nullptr), H5Sclose};
-      if (H5Dread(set.get(), type_of<T>(), here.get(), space.get(), H5P_DEFAULT, rows.data() + from) < 0)
+      if (H5Dread(dataset.get(), type_of<T>(), here.get(), space.get(), H5P_DEFAULT, rows.data() + from) < 0)
         fail(name_, "column " + path + ", rows " + std::to_string(from) + " to " +
                         std::to_string(from + part - 1) + ": damaged (checksum or compression)");
     }
@@ -267,21 +272,21 @@
 
  private:
   std::string name_;
-  std::uint64_t left_;
+  std::uint64_t remaining_bytes_;
   Handle file_;
 };
 
 }  // namespace
 
-Recording read(const std::string& file, std::uint64_t bytes_most) {
+Recording read(const std::string& file, std::uint64_t max_bytes) {
   std::error_code none;
   Recording r;
   r.size = std::filesystem::file_size(file, none);
   if (none) fail(file, "can't be read: " + none.message());
-  Reader in{file, bytes_most};
+  Reader in{file, max_bytes};
   const std::int64_t schema = in.number("schema");
-  if (schema < kSchemaOldest || schema > kSchema)
-    fail(file, "schema " + std::to_string(schema) + "; this program reads " + std::to_string(kSchemaOldest) +
+  if (schema < kOldestSchema || schema > kSchema)
+    fail(file, "schema " + std::to_string(schema) + "; this program reads " + std::to_string(kOldestSchema) +
                    " to " + std::to_string(kSchema));
   r.header.schema = static_cast<int>(schema), r.header.began_wall = in.number("began_wall_us");
   r.header.settings = in.text("/text/settings"), r.header.day = in.text("/text/day");
@@ -291,13 +296,13 @@
     const auto j = nlohmann::json::parse(line, nullptr, false);
     if (!j.is_object() || !j.value("name", nlohmann::json{}).is_string() ||
         !j.value("number", nlohmann::json{}).is_number_unsigned()) {
-      if (names.eof()) break;  // the last line, half written
+      if (names.eof()) break;  // the last line is incomplete
       fail(file, "/text/names, line " + std::to_string(place + 1) + ": not a name");
     }
     const std::string kind = j.value("kind", "");
     const auto number = j.value("number", std::size_t{0});
     if (number > 65535)
-      fail(file, "/text/names, line " + std::to_string(place + 1) + ": a number out of range");
+      fail(file, "/text/names, line " + std::to_string(place + 1) + ": number out of range");
     if (kind == "coordinator") r.header.name = j.value("name", "");
     auto* list = kind == "proxy"       ? &r.proxies
                  : kind == "worker"    ? &r.workers
@@ -320,7 +325,7 @@
     std::uint64_t i = 0, o = 0;
     for (std::size_t k = 0; k < n; ++k) {
       if (inputs_end[k] < i || orders_end[k] < o)
-        fail(file, "/steps, row " + std::to_string(k) + ": its bytes end before they begin");
+        fail(file, "/steps, row " + std::to_string(k) + ": end offset lies before that of the previous row");
       if (inputs_end[k] > inputs.size() || orders_end[k] > orders.size()) {
         r.cut = true;
         break;
@@ -344,7 +349,7 @@
   for (std::size_t k = 0; k < n; ++k) {
     at += came[k];
     if (outcome[k] > static_cast<std::uint8_t>(Outcome::open) || at < -(1LL << 50U) || at > 1LL << 50U)
-      fail(file, "/invocations, row " + std::to_string(k) + ": a value out of range");
+      fail(file, "/invocations, row " + std::to_string(k) + ": value out of range");
     r.invocations.push_back({at * 100, took[k] * 100, operation[k], outcome[k],
                              schema >= 2 ? tries[k] : std::uint8_t{1}, proxy[k], worker[k]});
   }
--- a/src/record/file.hpp
+++ b/src/record/file.hpp
@@ -1,9 +1,13 @@
-// A recording on disk: HDF5, columns in compressed chunks with a checksum each. Written so that a reader can
-// follow, and so that a writer that is killed leaves a file that reads up to what was flushed last.
+// A recording on disk, in HDF5: columns in compressed chunks, each with a checksum. It is written in SWMR
+// mode, so that a reader can follow it and a killed writer leaves a file that is readable up to the last
+// flush.
 //
-//   /steps/{t,inputs_end,orders_end,digest}   one row a step of the coordinator; t in micros from the
-//   beginning /inputs, /orders                          bytes; a step's end where the columns say
-//   /invocations/{came,took,operation,proxy,worker,outcome,tries}   micros; worker 65535: none
+//   /steps/{t,inputs_end,orders_end,digest}   one row per step of the coordinator; t in microseconds since
+//   the
+//                                             beginning
+//   /inputs, /orders                          bytes; each step ends at the offset in its *_end column
+//   /invocations/{came,took,operation,proxy,worker,outcome,tries}   units of 0.1 ms, `came` as difference to
+//                                             the previous row; worker 65535 means none
 //   /text/{settings,day,names,missing}        UTF-8; names and missing are JSON lines
 #pragma once
 
@@ -14,8 +18,8 @@
 
 namespace gorsemount::record {
 
-inline constexpr int kSchema = 2;  // 1 had no `tries`
-inline constexpr int kSchemaOldest = 1;
+inline constexpr int kSchema = 2;  // schema 1 has no `tries` column
+inline constexpr int kOldestSchema = 1;
 
 enum class Outcome : std::uint8_t { succeeded, late, errored, limited, no_line, open };
 
@@ -35,13 +39,13 @@
 struct Header {
   int schema = kSchema;
   std::string name;             // of the coordinator
-  std::int64_t began_wall = 0;  // micros since 1970
-  std::string settings, day;    // as they were given
+  std::int64_t began_wall = 0;  // microseconds since the Unix epoch
+  std::string settings, day;    // source texts
 };
 
 class Writer {
  public:
-  // Throws std::runtime_error, with the file's name.
+  // Throws std::runtime_error with the file name.
   Writer(const std::string& file, const Header& header);
   ~Writer();
   Writer(const Writer&) = delete;
@@ -50,11 +54,11 @@
   void step(const StepRow& row);
   void invocation(const InvocationRow& row);
   void name(const std::string& kind, std::size_t number,
-            const std::string& name);  // what a number stands for
+            const std::string& name);  // the name behind a number in the columns
   void missing(const std::string& what, std::uint64_t n);
-  // All so far is on its way to the disk, whole. Throws std::runtime_error if it can't be.
+  // Hands all rows so far to the operating system. Throws std::runtime_error on failure.
   void flush();
-  [[nodiscard]] std::uint64_t bytes() const;  // so far, before compression
+  [[nodiscard]] std::uint64_t bytes() const;  // written so far, before compression
 
  private:
   struct State;
@@ -67,13 +71,13 @@
   std::vector<InvocationRow> invocations;
   std::vector<std::string> proxies, workers, operations;
   std::vector<std::string> missing;  // JSON lines
-  std::uint64_t size = 0;            // of the file, bytes
-  bool cut = false;                  // it ends before what its columns announce
+  std::uint64_t size = 0;            // file size in bytes
+  bool cut = false;                  // truncated: some columns hold fewer rows or bytes than others need
 };
 
-// Reads a file, or up to its last whole row where it was cut. Throws std::runtime_error with the file, the
-// place and what is wrong: a checksum, a schema that is not known, sizes that can't be. Takes no more memory
-// than `bytes_most`.
-[[nodiscard]] Recording read(const std::string& file, std::uint64_t bytes_most = 4ULL << 30U);
+// Reads a file; a truncated one is read up to its last complete row. Throws std::runtime_error with the file,
+// the position and the fault: a wrong checksum, an unknown schema or impossible sizes. Column data takes at
+// most `max_bytes` of memory.
+[[nodiscard]] Recording read(const std::string& file, std::uint64_t max_bytes = 4ULL << 30U);
 
 }  // namespace gorsemount::record
--- a/src/record/recorder.cpp
+++ b/src/record/recorder.cpp
@@ -9,39 +9,41 @@
 
 namespace gorsemount::record {
 
-Detail detail_for(std::size_t waiting, std::size_t most) {
-  if (waiting >= most) return Detail::nothing;
-  if (waiting * 5 >= most * 4) return Detail::no_inputs;
-  return waiting * 2 >= most ? Detail::no_orders : Detail::all;
+Detail detail_for(std::size_t queued, std::size_t limit) {
+  if (queued >= limit) return Detail::nothing;
+  if (queued * 5 >= limit * 4) return Detail::no_inputs;
+  return queued * 2 >= limit ? Detail::no_orders : Detail::all;
 }
 
 namespace {
 
-// A killed process loses what was not flushed: a second of it.
-const Span kFlush = Span::seconds(1);
-// Steps in a piece: about 2 ms of encoding at 300 workers, so that what is promised waits no longer for a
-// lane.
-constexpr std::size_t kPiece = 64;
-// Of a core: compressing may take what it needs of one that nobody else wants, but no more than half of it.
-constexpr double kShare = 0.5;
+// A killed process loses the steps since the last flush.
+const Span kFlushInterval = Span::seconds(1);
+// About 2 ms of encoding at 300 workers, which bounds how long tasks with a deadline wait for a background
+// thread.
+constexpr std::size_t kStepsPerBatch = 64;
+// Compression uses CPU time that no other task needs, and at most half a core.
+constexpr double kMaxCoreShare = 0.5;
 
 }  // namespace
 
 Recorder::Recorder(background::Executor& background, RecorderSettings settings, Header header, Instant base,
-                   std::function<void(const std::string&)> said)
+                   std::function<void(const std::string&)> on_failure)
     : background_{background},
-      s_{std::move(settings)},
+      settings_{std::move(settings)},
       header_{std::move(header)},
       base_{base},
-      said_{std::move(said)},
-      writer_{std::make_unique<Writer>(s_.file, header_)} {
-  write_ = background_.add({"record", 2, {}, 0, kShare}, [this] { return piece(kPiece); });
-  flush_ = background_.add({"record flush", 2, kFlush, 0, kShare}, [this] { return flush(); });
+      on_failure_{std::move(on_failure)},
+      writer_{std::make_unique<Writer>(settings_.file, header_)} {
+  write_task_ =
+      background_.add({"record", 2, {}, 0, kMaxCoreShare}, [this] { return write_batch(kStepsPerBatch); });
+  flush_task_ =
+      background_.add({"record flush", 2, kFlushInterval, 0, kMaxCoreShare}, [this] { return flush(); });
 }
 
 Recorder::~Recorder() {
-  background_.remove(write_), background_.remove(flush_);
-  while (!piece(kPiece).done) {
+  background_.remove(write_task_), background_.remove(flush_task_);
+  while (!write_batch(kStepsPerBatch).done) {
   }
   static_cast<void>(flush());
 }
@@ -51,64 +53,64 @@
   bool first = false;
   {
     const std::lock_guard lock{lock_};
-    const Detail detail = broken_ ? Detail::nothing : detail_for(waiting_.size(), s_.waiting_most);
-    if (detail >= Detail::no_orders) ++left_out_["orders"];
-    if (detail >= Detail::no_inputs) ++left_out_["inputs"];
+    const Detail detail = failed_ ? Detail::nothing : detail_for(queue_.size(), settings_.max_queued_steps);
+    if (detail >= Detail::no_orders) ++dropped_["orders"];
+    if (detail >= Detail::no_inputs) ++dropped_["inputs"];
     if (detail == Detail::nothing) {
-      ++left_out_["steps"];
+      ++dropped_["steps"];
       return;
     }
-    first = waiting_.empty();
-    waiting_.push_back({now, std::move(inputs), effects, detail});
+    first = queue_.empty();
+    queue_.push_back({now, std::move(inputs), effects, detail});
   }
-  if (first) background_.request_run(write_);
+  if (first) background_.request_run(write_task_);
 }
 
-std::map<std::string, std::uint64_t> Recorder::left_out() const {
+std::map<std::string, std::uint64_t> Recorder::dropped_counts() const {
   const std::lock_guard lock{lock_};
-  return left_out_;
+  return dropped_;
 }
 
-void Recorder::write(const Work& work) {
+void Recorder::write(const QueuedStep& step) {
   StepRow row;
-  row.t = (work.now - base_).micros();
-  std::string orders = text_of(work.effects, base_);
+  row.t = (step.now - base_).micros();
+  std::string orders = text_of(step.effects, base_);
   row.digest = XXH3_64bits(orders.data(), orders.size());
-  if (work.detail < Detail::no_orders) row.orders = std::move(orders);
-  if (work.detail < Detail::no_inputs) row.inputs = encode(work.inputs, base_);
+  if (step.detail < Detail::no_orders) row.orders = std::move(orders);
+  if (step.detail < Detail::no_inputs) row.inputs = encode(step.inputs, base_);
   writer_->step(row);
-  if (writer_->bytes() < s_.bytes_most) return;
+  if (writer_->bytes() < settings_.max_bytes) return;
   writer_.reset();
-  std::rename(s_.file.c_str(), (s_.file + ".old").c_str());
-  writer_ = std::make_unique<Writer>(s_.file, header_);
+  std::rename(settings_.file.c_str(), (settings_.file + ".old").c_str());
+  writer_ = std::make_unique<Writer>(settings_.file, header_);
   writer_->missing("beginning", 1);
 }
 
-void Recorder::broke(const std::string& why) {
+void Recorder::fail(const std::string& why) {
   {
     const std::lock_guard lock{lock_};
-    if (std::exchange(broken_, true)) return;
-    waiting_.clear();
+    if (std::exchange(failed_, true)) return;
+    queue_.clear();
   }
-  said_(why);
+  on_failure_(why);
 }
 
-background::StepResult Recorder::piece(std::size_t most) {
-  std::deque<Work> batch;
+background::StepResult Recorder::write_batch(std::size_t most) {
+  std::deque<QueuedStep> batch;
   bool more = false;
   {
     const std::lock_guard lock{lock_};
-    if (broken_) return {};
-    for (; batch.size() < most && !waiting_.empty(); waiting_.pop_front())
-      batch.push_back(std::move(waiting_.front()));
-    more = !waiting_.empty();
+    if (failed_) return {};
+    for (; batch.size() < most && !queue_.empty(); queue_.pop_front())
+      batch.push_back(std::move(queue_.front()));
+    more = !queue_.empty();
   }
   const std::lock_guard hold{writer_lock_};
   const auto before = writer_->bytes();
   try {
-    for (const auto& work : batch) write(work);
+    for (const auto& step : batch) write(step);
   } catch (const std::exception& fault) {
-    broke(fault.what());
+    fail(fault.what());
     return {};
   }
   const auto after = writer_->bytes();
@@ -116,18 +118,18 @@
 }
 
 background::StepResult Recorder::flush() {
-  const auto left_out = this->left_out();
+  const auto dropped_counts = this->dropped_counts();
   {
     const std::lock_guard lock{lock_};
-    if (broken_) return {};
+    if (failed_) return {};
   }
   const std::lock_guard hold{writer_lock_};
   try {
-    for (const auto& [what, n] : left_out)
-      if (std::exchange(told_[what], n) != n) writer_->missing(what, n);
+    for (const auto& [what, n] : dropped_counts)
+      if (std::exchange(reported_[what], n) != n) writer_->missing(what, n);
     writer_->flush();
   } catch (const std::exception& fault) {
-    broke(fault.what());
+    fail(fault.what());
   }
   return {};
 }
--- a/src/record/recorder.hpp
+++ b/src/record/recorder.hpp
@@ -1,6 +1,6 @@
-// Records a coordinator while it runs. The one who steps hands over and goes on: encoding, compressing and
-// writing are background work. What there is no room or no disk for is left out in a stated order, and the
-// file says so.
+// Records a running coordinator. The calling thread only queues each step; encoding, compressing and writing
+// are background tasks. If the queue fills up or the disk fails, detail is dropped in a fixed order, and the
+// file states how much.
 #pragma once
 
 #include <deque>
@@ -14,58 +14,58 @@
 
 namespace gorsemount::record {
 
-// What of a step is kept. The order in which detail goes when the disk is slow: first what was ordered, in
-// words (its digest stays, so a replay can still be compared); then what was heard (then nothing can be
-// replayed from there on); then the step.
+// How much of a step is recorded. When the disk is slow, detail is dropped in this order: the text of the
+// orders (their digest is kept, so a replay can still be compared), then the inputs (a replay stops there),
+// then the whole step.
 enum class Detail { all, no_orders, no_inputs, nothing };
-[[nodiscard]] Detail detail_for(std::size_t waiting, std::size_t most);
+[[nodiscard]] Detail detail_for(std::size_t queued, std::size_t limit);
 
 struct RecorderSettings {
   std::string file;
-  std::uint64_t bytes_most =
-      2ULL << 30U;                  // before compression; then a new file begins and one old one is kept
-  std::size_t waiting_most = 4096;  // steps
+  std::uint64_t max_bytes =
+      2ULL << 30U;  // before compression; then the file is rotated, and one old file is kept
+  std::size_t max_queued_steps = 4096;
 };
 
 class Recorder {
  public:
-  // `said` is called from a background thread, once a fault. Throws std::runtime_error if the file can't be
-  // made. `background` outlives it.
+  // `on_failure` is called at most once, from a background thread. Throws std::runtime_error if the file
+  // can't be created. `background` must outlive the recorder.
   Recorder(background::Executor& background, RecorderSettings settings, Header header, Instant base,
-           std::function<void(const std::string&)> said);
-  ~Recorder();  // what was handed over is written
+           std::function<void(const std::string&)> on_failure);
+  ~Recorder();  // writes all queued steps
   Recorder(const Recorder&) = delete;
   Recorder& operator=(const Recorder&) = delete;
 
-  // Never waits for the disk.
+  // Never blocks on the disk.
   void step(Instant now, std::vector<coordinator::Input> inputs, const coordinator::Effects& effects);
-  [[nodiscard]] std::map<std::string, std::uint64_t> left_out() const;
+  [[nodiscard]] std::map<std::string, std::uint64_t> dropped_counts() const;
 
  private:
-  struct Work {
+  struct QueuedStep {
     Instant now;
     std::vector<coordinator::Input> inputs;
     coordinator::Effects effects;
     Detail detail = Detail::all;
   };
-  background::StepResult piece(std::size_t most);
+  background::StepResult write_batch(std::size_t most);
   background::StepResult flush();
-  void write(const Work& work);
-  void broke(const std::string& why);
+  void write(const QueuedStep& step);
+  void fail(const std::string& why);
 
   background::Executor& background_;
-  RecorderSettings s_;
+  RecorderSettings settings_;
   Header header_;
   Instant base_;
-  std::function<void(const std::string&)> said_;
+  std::function<void(const std::string&)> on_failure_;
   mutable std::mutex lock_;
-  std::deque<Work> waiting_;
-  std::map<std::string, std::uint64_t> left_out_;
-  bool broken_ = false;
-  std::mutex writer_lock_;  // of what follows
+  std::deque<QueuedStep> queue_;
+  std::map<std::string, std::uint64_t> dropped_;
+  bool failed_ = false;
+  std::mutex writer_lock_;  // guards the following members
   std::unique_ptr<Writer> writer_;
-  std::map<std::string, std::uint64_t> told_;
-  background::TaskId write_, flush_;
+  std::map<std::string, std::uint64_t> reported_;
+  background::TaskId write_task_, flush_task_;
 };
 
 }  // namespace gorsemount::record
--- a/src/record/tools.cpp
+++ b/src/record/tools.cpp
@@ -15,14 +15,14 @@
 
 namespace {
 
-constexpr const char* kOutcomes[] = {"succeeded", "late", "errored", "rate_limited", "no_line", "open"};
+constexpr const char* kOutcomeNames[] = {"succeeded", "late", "errored", "rate_limited", "no_line", "open"};
 
-std::string at(const std::vector<std::string>& names, std::size_t k) {
+std::string name_at(const std::vector<std::string>& names, std::size_t k) {
   return k < names.size() ? names[k] : std::to_string(k);
 }
 
-// When each worker's processes started, by what it said of itself, on the recorder's clock.
-std::map<std::string, std::vector<double>> starts(const Recording& r) {
+// Estimates of each worker process's start time by boot id, on the recorder's clock: report time less uptime.
+std::map<std::string, std::vector<double>> process_starts(const Recording& r) {
   std::map<std::string, std::vector<double>> found;
   for (const auto& step : r.steps) {
     auto inputs = decode(step.inputs, Instant{});
@@ -34,7 +34,7 @@
   return found;
 }
 
-double middle(std::vector<double> v) {
+double median(std::vector<double> v) {
   std::nth_element(v.begin(), v.begin() + static_cast<std::ptrdiff_t>(v.size() / 2), v.end());
   return v[v.size() / 2];
 }
@@ -48,11 +48,11 @@
   for (const auto& i : r.invocations) ++outcomes[i.outcome];
   const double length = r.steps.empty() ? 0 : static_cast<double>(r.steps.back().t - r.steps.front().t) / 1e6;
   std::string text = fmt::format("{}: schema {}, of {}, {} bytes{}\n", file, r.header.schema, r.header.name,
-                                 r.size, r.cut ? ", cut off: read up to its last whole row" : "");
+                                 r.size, r.cut ? ", truncated: read up to its last complete row" : "");
   text += fmt::format("  steps {} over {:.1f} s; heard {} bytes, ordered {} bytes\n", r.steps.size(), length,
                       inputs, orders);
   text += fmt::format("  invocations {}", r.invocations.size());
-  for (const auto& [o, n] : outcomes) text += fmt::format(", {} {}", kOutcomes[o], n);
+  for (const auto& [o, n] : outcomes) text += fmt::format(", {} {}", kOutcomeNames[o], n);
   text += fmt::format("\n  operations {}, proxies {}, workers {}; settings {} bytes, day {} bytes\n",
                       r.operations.size(), r.proxies.size(), r.workers.size(), r.header.settings.size(),
                       r.header.day.size());
@@ -61,29 +61,29 @@
 }
 
 std::vector<std::string> verify(const Recording& r, const std::function<void(double)>& progress) {
-  std::vector<std::string> wrong;
+  std::vector<std::string> faults;
   std::int64_t last = INT64_MIN;
   for (std::size_t k = 0; k < r.steps.size(); ++k) {
     const auto& s = r.steps[k];
     if (k % 1000 == 0) progress(static_cast<double>(k) / static_cast<double>(r.steps.size()));
     if (s.t < last)
-      wrong.push_back(fmt::format("step {}: its time {} lies before that of the step before", k, s.t));
+      faults.push_back(fmt::format("step {}: its time {} lies before that of the previous step", k, s.t));
     last = s.t;
     if (!s.inputs.empty())
       if (const auto inputs = decode(s.inputs, Instant{}); std::holds_alternative<std::string>(inputs))
-        wrong.push_back(fmt::format("step {}: {}", k, std::get<std::string>(inputs)));
+        faults.push_back(fmt::format("step {}: {}", k, std::get<std::string>(inputs)));
     if (!s.orders.empty() && XXH3_64bits(s.orders.data(), s.orders.size()) != s.digest)
-      wrong.push_back(fmt::format("step {}: its orders do not fit their digest", k));
-    if (wrong.size() >= 20) break;
+      faults.push_back(fmt::format("step {}: its orders do not match their digest", k));
+    if (faults.size() >= 20) break;
   }
-  for (std::size_t k = 0; k < r.invocations.size() && wrong.size() < 20; ++k) {
+  for (std::size_t k = 0; k < r.invocations.size() && faults.size() < 20; ++k) {
     const auto& i = r.invocations[k];
     if (!r.operations.empty() && i.operation >= r.operations.size())
-      wrong.push_back(fmt::format("invocation {}: no operation {}", k, i.operation));
+      faults.push_back(fmt::format("invocation {}: unknown operation {}", k, i.operation));
     if (!r.workers.empty() && i.worker != 65535 && i.worker >= r.workers.size())
-      wrong.push_back(fmt::format("invocation {}: no worker {}", k, i.worker));
+      faults.push_back(fmt::format("invocation {}: unknown worker {}", k, i.worker));
   }
-  return wrong;
+  return faults;
 }
 
 Recording cut(const Recording& r, double from, double to) {
@@ -102,23 +102,23 @@
 
 Merged merge(const Recording& a, const Recording& b) {
   Merged m;
-  const auto of_a = starts(a), of_b = starts(b);
+  const auto of_a = process_starts(a), of_b = process_starts(b);
   std::vector<double> offsets;
   for (const auto& [boot, times] : of_b)
     if (const auto it = of_a.find(boot); it != of_a.end())
-      offsets.push_back(middle(it->second) - middle(times));
+      offsets.push_back(median(it->second) - median(times));
   if (offsets.empty())
     throw std::runtime_error{
-        "the two recordings heard of no worker in common: their clocks can't be compared"};
-  m.common = offsets.size(), m.offset = middle(offsets);
+        "the two recordings have no worker in common, so their clocks can't be compared"};
+  m.common = offsets.size(), m.offset = median(offsets);
   for (const double o : offsets) m.spread = std::max(m.spread, std::abs(o - m.offset));
   m.recording = a;
-  // The second one's invocations under the first one's numbers. Its steps are another coordinator's and stay
-  // apart.
+  // Invocations of the second recording are renumbered with the names of the first. Its steps belong to
+  // another coordinator and are not merged.
   const auto by = static_cast<std::int64_t>(m.offset * 1e6);
   const auto number = [](std::vector<std::string>& names, const std::vector<std::string>& theirs,
                          std::size_t k) {
-    const std::string name = at(theirs, k);
+    const std::string name = name_at(theirs, k);
     const auto it = std::find(names.begin(), names.end(), name);
     if (it != names.end()) return static_cast<std::size_t>(it - names.begin());
     names.push_back(name);
@@ -160,17 +160,17 @@
   }
   if (csv) text = "came_us,took_us,operation,proxy,worker,outcome,tries\n";
   for (const auto& i : r.invocations) {
-    const std::string worker = i.worker == 65535 ? "" : at(r.workers, i.worker);
+    const std::string worker = i.worker == 65535 ? "" : name_at(r.workers, i.worker);
     if (csv) {
-      text += fmt::format("{},{},{},{},{},{},{}\n", i.came, i.took, at(r.operations, i.operation),
-                          at(r.proxies, i.proxy), worker, kOutcomes[i.outcome], i.tries);
+      text += fmt::format("{},{},{},{},{},{},{}\n", i.came, i.took, name_at(r.operations, i.operation),
+                          name_at(r.proxies, i.proxy), worker, kOutcomeNames[i.outcome], i.tries);
     } else {
       text += nlohmann::json{{"came_us", i.came},
                              {"took_us", i.took},
-                             {"operation", at(r.operations, i.operation)},
-                             {"proxy", at(r.proxies, i.proxy)},
+                             {"operation", name_at(r.operations, i.operation)},
+                             {"proxy", name_at(r.proxies, i.proxy)},
                              {"worker", worker},
-                             {"outcome", kOutcomes[i.outcome]},
+                             {"outcome", kOutcomeNames[i.outcome]},
                              {"tries", i.tries}}
                   .dump() +
               "\n";
--- a/src/record/tools.hpp
+++ b/src/record/tools.hpp
@@ -1,4 +1,4 @@
-// What a person does with recordings: info, verify, cut, merge, export, import.
+// Operations of the `record` command on recordings: info, verify, cut, merge and export.
 #pragma once
 
 #include <functional>
@@ -9,21 +9,21 @@
 namespace gorsemount::record {
 
 [[nodiscard]] std::string info(const Recording& r, const std::string& file);
-// Reads every input and every digest again; what is wrong, with its place. Empty: nothing.
+// Decodes all inputs and recomputes all digests. Returns the faults with their positions, 20 at most.
 [[nodiscard]] std::vector<std::string> verify(const Recording& r,
                                               const std::function<void(double)>& progress);
-// Seconds from the beginning.
+// The part from `from` to `to`, in seconds since the beginning.
 [[nodiscard]] Recording cut(const Recording& r, double from, double to);
-// Two coordinators' records of one day. Their clocks' offset is reckoned from when workers that both heard of
-// started; throws std::runtime_error if they have none in common.
+// Merges the recordings of two coordinators of one day. The offset of their clocks is estimated from the
+// start times of workers that both observed; throws std::runtime_error if there are none.
 struct Merged {
   Recording recording;
-  double offset = 0;       // s to be added to the second one's times
-  double spread = 0;       // how far the workers disagree about it, s
-  std::size_t common = 0;  // workers
+  double offset = 0;       // seconds to add to the times of the second recording
+  double spread = 0;       // largest deviation of a worker from the offset, seconds
+  std::size_t common = 0;  // number of workers
 };
 [[nodiscard]] Merged merge(const Recording& a, const Recording& b);
-// "csv" or "jsonl"; of "invocations" or "steps".
+// `form` is "csv" or "jsonl"; `table` is "invocations" or "steps".
 [[nodiscard]] std::string export_as(const Recording& r, const std::string& form, const std::string& table);
 void write(const Recording& r, const std::string& file);  // throws std::runtime_error
 
--- a/src/script/day.cpp
+++ b/src/script/day.cpp
@@ -29,7 +29,7 @@
 }
 
 std::string zone_in_day(config::Section& in, const Day& day) {
-  return day.zones[in.word("zone", day.zones, std::nullopt)];
+  return day.zones[in.choice("zone", day.zones, std::nullopt)];
 }
 
 void read_fleet(config::Section& root, Day& day) {
@@ -39,13 +39,13 @@
     DayOperation op;
     op.name = b->labels[0].first;
     const std::vector<std::string> effects{"idempotent", "fingerprinted", "side-effecting"};
-    op.effect = effects[in.word("effect", effects, std::nullopt)];
+    op.effect = effects[in.choice("effect", effects, std::nullopt)];
     op.share = in.number("share", 1, {0, 1e6});
     op.work = some(in, "work", std::nullopt);
     op.latency_objective = some(in, "latency_objective", std::nullopt);
     op.integration_timeout = some(in, "integration_timeout", std::nullopt);
     op.billed_value = in.number("billed_value", 1, {0, 1e6});
-    in.done();
+    in.finish();
     day.operations.push_back(op);
   }
   for (const auto* b : root.blocks("workers", 1)) {
@@ -58,7 +58,7 @@
     w.connect_cost = some(in, "connect_cost", 0), w.loss = in.number("loss", 0, {0, 10}),
     w.cancels = in.flag("cancels", true);
     w.queue_most = static_cast<int>(in.number("queue_most", 64, {0, 100000, true}));
-    in.done();
+    in.finish();
     day.workers.push_back(w);
   }
   for (const auto* b : root.blocks("clients", 1)) {
@@ -69,7 +69,7 @@
     c.rate = in.number("rate", 1, {0, 1000}, "invocations/s"),
     c.by_address = in.number("by_address", 0, {0, 1});
     c.disobedient = static_cast<int>(in.number("disobedient", 0, {0, 250, true}));
-    in.done();
+    in.finish();
     day.clients.push_back(c);
   }
   for (const auto* b : root.blocks("forwarders", 1)) {
@@ -79,13 +79,13 @@
     f.count = static_cast<int>(in.number("count", std::nullopt, {1, 250, true}));
     f.clients = static_cast<int>(in.number("clients", 0, {0, 250, true}));
     f.rate = in.number("rate", 1, {0, 1000}, "invocations/s"), f.two_choice = in.flag("two_choice", false);
-    in.done();
+    in.finish();
     day.forwarders.push_back(f);
   }
   for (const auto* b : root.blocks("coordinator", 1)) {
     config::Section in = section_of(*b, root);
     day.coordinators.push_back(zone_in(in));
-    in.done();
+    in.finish();
   }
 }
 
@@ -95,7 +95,7 @@
     Phase p{b->labels[0].first, some(in, "at", std::nullopt), in.number("rate", 1, {0, 100})};
     if (!day.phases.empty() && p.at <= day.phases.back().at)
       in.fault(in.place("at"), "phases are to stand in the order of time");
-    in.done();
+    in.finish();
     day.phases.push_back(p);
   }
   const std::vector<std::string> kinds{"crash",
@@ -121,10 +121,10 @@
     config::Section in = section_of(*b, root);
     Trouble t;
     t.name = b->labels[0].first;
-    t.kind = static_cast<TroubleKind>(in.word("kind", kinds, std::nullopt));
+    t.kind = static_cast<TroubleKind>(in.choice("kind", kinds, std::nullopt));
     std::vector<std::string> zones = day.zones;
     zones.emplace_back("");
-    t.zone = zones[in.word("zone", zones, zones.size() - 1)];
+    t.zone = zones[in.choice("zone", zones, zones.size() - 1)];
     t.at = some(in, "at", std::nullopt), t.lasts = some(in, "lasts", std::nullopt);
     t.count = static_cast<int>(in.number("count", 0, {0, 2500, true}));
     if (std::string to = in.text("to", ""); !to.empty()) {
@@ -137,7 +137,7 @@
     if ((t.kind == TroubleKind::cut_link || t.kind == TroubleKind::slow_link) && t.zone.empty())
       in.fault(in.at(), "a link's trouble needs a 'zone'");
     t.part = in.number("part", 1, {0, 1}), t.size = in.number("size", 1, {0, 1000});
-    in.done();
+    in.finish();
     day.troubles.push_back(t);
   }
   std::vector<std::string> names;
@@ -155,22 +155,22 @@
     if (times > 1 && every <= kill.lasts)
       in.fault(in.place("times"), "several times need an 'every' above 'lasts'");
     for (int k = 0; k < times; ++k) day.kills.push_back(kill), kill.at = kill.at + every;
-    in.done();
+    in.finish();
   }
   for (const auto* b : root.blocks("person", 1)) {
     using Action = coordinator::OperatorCommand::Action;
     config::Section in = section_of(*b, root);
     const std::vector<std::string> orders{"drain zone", "undrain zone", "hold", "release"};
     constexpr Action what[] = {Action::drain_zone, Action::undrain_zone, Action::hold, Action::release};
-    const std::size_t k = in.word("order", orders, std::nullopt);
+    const std::size_t k = in.choice("order", orders, std::nullopt);
     Person person;
     if (k < 2) person.order.name = zone_in_day(in, day);
     person.order.action = what[k], person.at = some(in, "at", std::nullopt);
     person.words = orders[k] + (k < 2 ? " " + person.order.name : "");
-    in.done();
+    in.finish();
     day.persons.push_back(std::move(person));
   }
-  config::Section cuts = root.only("cuts");
+  config::Section cuts = root.block("cuts");
   day.cuts.count = static_cast<int>(cuts.number("count", 0, {0, 1000, true}));
   day.cuts.first = some(cuts, "first", 2), day.cuts.every = some(cuts, "every", 1),
   day.cuts.lasts = some(cuts, "lasts", 0.4);
@@ -178,7 +178,7 @@
   day.cuts.pause = cuts.flag("pause", false);
   if (day.cuts.count > 0 && (day.forwarders.empty() || !day.shared || day.cuts.every <= day.cuts.lasts))
     cuts.fault(cuts.at(), "cuts need forwarders, a shared fleet, and 'every' above 'lasts'");
-  cuts.done();
+  cuts.finish();
 }
 
 }  // namespace
@@ -193,13 +193,13 @@
     config::Section zone = section_of(*b, root);
     day.zones.push_back(b->labels[0].first);
     for (const auto& [name, at] : zone.texts("near")) day.near[day.zones.back()].push_back(name);
-    zone.done();
+    zone.finish();
   }
   if (day.zones.empty() || day.zones.size() > 8) {
     root.fault(root.at(), "expected 1 to 8 zones");
     return day;
   }
-  config::Section in = root.only("day");
+  config::Section in = root.block("day");
   day.name = in.text("name", "day"), day.origin = in.text("origin", "refill.pwani.test");
   day.seed = static_cast<std::uint64_t>(in.number("seed", 1, {0, 1e15, true}));
   day.length = in.span("length", std::nullopt, Span::seconds(1), kLongest);
@@ -208,8 +208,8 @@
   day.lease = some(in, "lease", 1);
   day.record = in.flag("record", false), day.keeps = in.flag("keeps", false);
   day.churn = some(in, "churn", 0);
-  in.done();
-  config::Section rules = root.only("rules");
+  in.finish();
+  config::Section rules = root.block("rules");
   day.drain_grace = some(rules, "drain_grace", 5), day.unserved = some(rules, "unserved", 3);
   day.cold_for = some(rules, "cold_for", 10), day.tip_after = some(rules, "tip_after", 2);
   day.cold_from = rules.number("cold_from", 0.2, {0.01, 1}),
@@ -221,21 +221,21 @@
   day.levels = rules.flag("levels", false);
   day.spill = rules.flag("spill", false);
   day.fleet_rate = rules.number("fleet_rate", 0, {0, 1e9}, "invocations/s");
-  rules.done();
+  rules.finish();
   read_fleet(root, day);
   read_script(root, day);
-  config::Section unsafe = root.only("unsafe");
+  config::Section unsafe = root.block("unsafe");
   day.unsafe.repeat_all = unsafe.flag("repeat_all", false);
   day.unsafe.drain_untold = unsafe.flag("drain_untold", false);
   day.unsafe.no_fence = unsafe.flag("no_fence", false);
   day.unsafe.fixed_weights = unsafe.flag("fixed_weights", false);
   day.unsafe.backlog_judged = unsafe.number("backlog_judged", 0, {0, 1e9}, "lines");
   day.unsafe.no_ramp = unsafe.flag("no_ramp", false);
-  unsafe.done();
+  unsafe.finish();
   if (day.operations.empty() || day.workers.empty() || day.clients.empty() || day.coordinators.empty())
     root.fault(root.at(), "expected at least one block each of: operation, workers, clients, coordinator");
   if (day.phases.empty()) day.phases.push_back({"day", Span{}, 1});
-  root.done();
+  root.finish();
   return day;
 }
 
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -1,4 +1,4 @@
-// Settings and rosters: what is read, and every kind of mistake with its place.
+// Parsing of settings and rosters, and the report of each kind of fault with its position.
 #include <gtest/gtest.h>
 
 #include "config/settings.hpp"
@@ -35,7 +35,7 @@
   EXPECT_EQ(body.blocks[0].body.attributes[0].at.line, 13U);
 }
 
-TEST(Hcl, NamesEveryFaultOfAFileWithItsPlace) {
+TEST(Hcl, ReportsEachFaultOfAFileWithItsPosition) {
   const auto faults = faults_of("a = \nb = \"open\nc = \"\\q\"\nd = 1 2\ne = 3\n");
   ASSERT_EQ(faults.size(), 4U);
   EXPECT_EQ(faults[0].substr(0, 6), "f:1:5:");
@@ -45,7 +45,7 @@
   EXPECT_EQ(faults[3].substr(0, 4), "f:4:");
 }
 
-TEST(Hcl, HostileTextsEndInAFault) {
+TEST(Hcl, MaliciousTextsGiveAFault) {
   EXPECT_EQ(faults_of("a = " + std::string(100000, '[')).size(), 1U);
   EXPECT_NE(faults_of("a = " + std::string(100000, '[')).at(0).find("32 deep"), std::string::npos);
   std::string blocks;
@@ -57,7 +57,7 @@
     EXPECT_FALSE(faults_of(text).empty()) << text;
 }
 
-const std::string kGood =
+const std::string kValidSettings =
     "coordinator { zone = \"a\" }\nzone \"a\" {}\nzone \"b\" {}\n"
     "operation \"read\" {\n  effect = \"idempotent\"\n  latency_objective = \"1s\"\n  integration_timeout = "
     "\"3s\"\n}\n"
@@ -71,9 +71,9 @@
   return out;
 }
 
-TEST(Settings, GoodOnesAreReadAndExplained) {
+TEST(Settings, ValidSettingsAreReadAndExplained) {
   Findings findings;
-  const auto s = read_settings(kGood, "f", findings);
+  const auto s = read_settings(kValidSettings, "f", findings);
   ASSERT_TRUE(findings.faults.empty()) << findings.faults[0].text();
   EXPECT_EQ(s.core.zones.size(), 2U);
   EXPECT_EQ(s.core.groups.back().name, "elsewhere");
@@ -83,10 +83,10 @@
     left = left || (v.path == "rules.drain_grace" && v.value == "5s" && v.source == "default");
   }
   EXPECT_TRUE(set && left);
-  EXPECT_EQ(fixed_part(s), fixed_part(s));
+  EXPECT_EQ(non_reloadable_settings(s), non_reloadable_settings(s));
 }
 
-TEST(Settings, EachMistakeIsNamedWithWhatWasExpected) {
+TEST(Settings, EachFaultStatesWhatWasExpected) {
   struct Case {
     std::string more, expected;
   };
@@ -125,19 +125,19 @@
        "shorter than 'latency_objective'"},
   };
   for (const auto& c : cases) {
-    const auto faults = settings_faults(kGood + c.more);
+    const auto faults = settings_faults(kValidSettings + c.more);
     ASSERT_FALSE(faults.empty()) << c.more;
     std::string all;
     for (const auto& f : faults) all += f + "\n";
     EXPECT_NE(all.find(c.expected), std::string::npos) << all;
     EXPECT_EQ(all.substr(0, 3), "f:1") << all;
   }
-  EXPECT_EQ(settings_faults("").size(), 4U) << "everything that is missing, at once";
+  EXPECT_EQ(settings_faults("").size(), 4U) << "all missing settings are reported at once";
 }
 
-TEST(Roster, IsReadOrRefusedWhole) {
+TEST(Roster, IsAcceptedOrRejectedAsAWhole) {
   Findings findings;
-  const auto core = read_settings(kGood, "f", findings).core;
+  const auto core = read_settings(kValidSettings, "f", findings).core;
   const std::string one = "backend \"w1\" {\n  zone = \"a\"\n  address = \"127.0.0.1:9000\"\n}\n";
   const auto good = read_roster(one +
                                     "backend \"w2\" {\n zone = \"b\"\n address = \"[::1]:9000\"\n state = "
--- a/tests/lab/windows_test.cpp
+++ b/tests/lab/windows_test.cpp
@@ -1,5 +1,5 @@
-// A long day in windows: what happens is played whole, what is drawn stands for what is not, and the interval
-// that is given holds what it says.
+// Simulation of a long day in windows: eventful windows are all simulated, sampled ones represent the others,
+// and the confidence interval has its stated coverage.
 #include "lab/replay/windows.hpp"
 
 #include <gtest/gtest.h>
@@ -37,10 +37,10 @@
   return t;
 }
 
-TEST(Windows, CoverADayOnceAndKeepTogetherWhatHappens) {
+TEST(Windows, CoverTheDayOnceAndMergeEventfulNeighbours) {
   auto day = some_day(86400);
   day.phases.push_back({"evening", s(61200), 0.5});
-  day.troubles.push_back(crash(7150, 100));  // and what it leaves behind, over three windows
+  day.troubles.push_back(crash(7150, 100));  // its after-effects reach into the next window
   WindowPlan plan;
   const auto all = plan_windows(day, plan);
   Span at;
@@ -55,7 +55,7 @@
   const auto it = std::find_if(all.begin(), all.end(), [](const auto& w) { return w.eventful; });
   ASSERT_NE(it, all.end());
   EXPECT_EQ(it->from, s(6600));
-  EXPECT_EQ(it->to, s(7800)) << "200 s after a trouble the day is as it was";
+  EXPECT_EQ(it->to, s(7800)) << "a trouble has no effect after 200 s";
   plan.part = 0.1;
   double stood_for = 0;
   std::set<std::size_t> strata;
@@ -65,16 +65,16 @@
     if (!w.eventful) strata.insert(w.stratum);
   }
   EXPECT_NEAR(stood_for, static_cast<double>(all.size()), 1e-9);
-  EXPECT_EQ(strata.size(), 2U) << "a rate each";
+  EXPECT_EQ(strata.size(), 2U) << "one stratum per rate";
   EXPECT_LT(drawn.size(), 20U);
   EXPECT_EQ(drawn, plan_windows(day, plan));
 }
 
-TEST(Windows, BeginWithWhatBeganBefore) {
+TEST(Windows, StartWithTroublesThatBeganEarlier) {
   auto day = some_day(3600);
   day.phases = {{"day", {}, 1}, {"noon", s(900), 2}, {"evening", s(1810), 0.5}};
   day.troubles = {crash(1000, 1000), crash(1850, 5), crash(100, 5)};
-  const auto piece = day_of(day, {s(1800), s(2400), true, 0, 1}, s(20));
+  const auto piece = window_day(day, {s(1800), s(2400), true, 0, 1}, s(20));
   ASSERT_EQ(piece.phases.size(), 2U);
   EXPECT_EQ(piece.phases[0].rate, 2);
   EXPECT_EQ(piece.phases[1].at, s(30));
@@ -83,55 +83,56 @@
   EXPECT_EQ(piece.troubles[0].lasts, s(220));
   EXPECT_EQ(piece.troubles[1].at, s(70));
   EXPECT_EQ(piece.length, s(623));
-  EXPECT_EQ(day_of(day, {Span{}, s(600), true, 0, 1}, s(20)).length, s(603))
-      << "nothing comes before the day";
+  EXPECT_EQ(window_day(day, {Span{}, s(600), true, 0, 1}, s(20)).length, s(603))
+      << "no warm-up before the start of the day";
 }
 
-// A made-up day whose truth is known: of many samples the stated interval must hold it in about 95 of 100.
-TEST(Windows, TheIntervalHoldsTheTruthAsOftenAsItSays) {
+// With a synthetic day of known service, the 95% interval must contain the true value in about 95% of
+// samples.
+TEST(Windows, TheIntervalHasItsStatedCoverage) {
   std::mt19937 chance{11};
   constexpr int kStrata = 3, kEach = 60, kDrawn = 8;
-  std::vector<Sampled> day;
+  std::vector<SampledWindow> day;
   for (int h = 0; h < kStrata; ++h)
     for (int k = 0; k < kEach; ++k) {
       const double asked = 1000 * (h + 1) * std::uniform_real_distribution<>{0.9, 1.1}(chance);
       day.push_back({static_cast<std::size_t>(h), 1,
                      asked * std::uniform_real_distribution<>{0.99 - 0.04 * h, 1}(chance), asked});
     }
-  const auto truth = ratio(day);
-  EXPECT_EQ(truth.low, truth.high) << "all were played";
+  const auto truth = ratio_estimate(day);
+  EXPECT_EQ(truth.low, truth.high) << "all windows were simulated";
   int held = 0;
   double width = 0;
   constexpr int kRounds = 1000;
   for (int round = 0; round < kRounds; ++round) {
-    std::vector<Sampled> drawn;
+    std::vector<SampledWindow> drawn;
     for (int h = 0; h < kStrata; ++h) {
-      std::vector<Sampled> in{day.begin() + h * kEach, day.begin() + (h + 1) * kEach};
+      std::vector<SampledWindow> in{day.begin() + h * kEach, day.begin() + (h + 1) * kEach};
       std::shuffle(in.begin(), in.end(), chance);
       for (int k = 0; k < kDrawn; ++k)
         drawn.push_back(in[static_cast<std::size_t>(k)]),
             drawn.back().stands_for = static_cast<double>(kEach) / kDrawn;
     }
-    const auto d = ratio(drawn);
+    const auto d = ratio_estimate(drawn);
     held += d.low <= truth.mean && truth.mean <= d.high ? 1 : 0;
     width += (d.high - d.low) / kRounds;
   }
   EXPECT_GT(held, kRounds * 91 / 100);
-  EXPECT_LT(held, kRounds * 99 / 100) << "an interval that always holds says too little";
+  EXPECT_LT(held, kRounds * 99 / 100) << "the interval is too wide";
   EXPECT_LT(width, 0.02);
 }
 
-TEST(Windows, GiveTheCountOfTheWholeDay) {
+TEST(Windows, EstimateTheServiceOfTheWholeDay) {
   auto day = some_day(900);
   day.troubles.push_back(crash(130, 20));
   day.phases.push_back({"noon", s(500), 1.6});
   WorldSettings world;
   const std::vector<Variant> variants{{"as it is", "", {}},
                                       {"slow reports", "", {read_override("coordinator.report_every=4s")}}};
-  const auto whole = play(day, variants, 1, 2, world, [](double) {});
+  const auto whole = run_variants(day, variants, 1, 2, world, [](double) {});
   WindowPlan plan;
   plan.length = s(100);
-  const auto windowed = play_windows(day, variants, plan, 1, world, [](double) {});
+  const auto windowed = run_windows(day, variants, plan, 1, world, [](double) {});
   for (std::size_t v = 0; v < 2; ++v) {
     EXPECT_NEAR(windowed.variants[v].whole.service(), whole[v].whole.service(), 0.01);
     EXPECT_NEAR(static_cast<double>(windowed.variants[v].whole.invocations),
@@ -141,28 +142,29 @@
   EXPECT_NE(windowed.variants[1].against_first.mean, 0);
   EXPECT_NEAR(windowed.variants[1].against_first.mean, whole[1].whole.service() - whole[0].whole.service(),
               0.01)
-      << table(day, windowed);
-  const auto again = play_windows(day, variants, plan, 3, world, [](double) {});
-  EXPECT_EQ(table(day, windowed), table(day, again)) << "three jobs as one";
+      << text_report(day, windowed);
+  const auto again = run_windows(day, variants, plan, 3, world, [](double) {});
+  EXPECT_EQ(text_report(day, windowed), text_report(day, again))
+      << "the result does not depend on the number of jobs";
 }
 
-TEST(Windows, AThinnedDayIsAsBusyAsBefore) {
+TEST(Windows, AScaledDownDayKeepsItsUtilization) {
   auto day = some_day(60);
   day.troubles.push_back(crash(20, 10));
   for (auto& w : day.workers) w.count = 20;
   for (auto& c : day.clients) c.count = 40;
   day.troubles[0].count = 10;
-  const auto thin = thinned(day, 4);
+  const auto thin = scaled_down(day, 4);
   EXPECT_EQ(thin.workers[0].count, 5);
   EXPECT_EQ(thin.clients[1].count, 10);
   EXPECT_EQ(thin.troubles[0].count, 3);
   const std::vector<Variant> variants{{"as it is", "", {}}};
-  const auto all = play(day, variants, 3, 1, {}, [](double) {}),
-             few = play(thin, variants, 3, 1, {}, [](double) {});
+  const auto all = run_variants(day, variants, 3, 1, {}, [](double) {}),
+             few = run_variants(thin, variants, 3, 1, {}, [](double) {});
   EXPECT_NEAR(few[0].whole.service(), all[0].whole.service(), 0.03);
   try {
-    static_cast<void>(thinned(day, 50));
-    ADD_FAILURE() << "nobody would be left";
+    static_cast<void>(scaled_down(day, 50));
+    ADD_FAILURE() << "an empty block must be rejected";
   } catch (const std::runtime_error& fault) {
     EXPECT_NE(std::string{fault.what()}.find("workers of kariakoo are 20"), std::string::npos)
         << fault.what();
--- a/tests/record/record_test.cpp
+++ b/tests/record/record_test.cpp
@@ -1,5 +1,5 @@
-// Recordings: what goes in comes out, what is damaged is named with its place, a killed writer leaves what it
-// flushed, and a recorded coordinator orders the same again.
+// Recordings: round trips, damage reported with its position, files of killed writers readable up to the last
+// flush, and replays that give the same orders.
 #include <sys/wait.h>
 #include <unistd.h>
 #include <xxhash.h>
@@ -12,7 +12,7 @@
 #include "config/settings.hpp"
 #include "coordinator/fixture.hpp"
 #include "lab/replay/compare.hpp"
-#include "lab/replay/same.hpp"
+#include "lab/replay/step_replay.hpp"
 #include "net/loop.hpp"
 #include "record/codec.hpp"
 #include "record/recorder.hpp"
@@ -23,14 +23,14 @@
 
 using namespace coordinator;
 
-class Folder {
+class TemporaryFolder {
  public:
-  Folder() {
+  TemporaryFolder() {
     std::string text = (std::filesystem::temp_directory_path() / "gorsemount-record-XXXXXX").string();
     if (mkdtemp(text.data()) == nullptr) throw std::runtime_error{"mkdtemp"};
     path = text;
   }
-  ~Folder() { std::filesystem::remove_all(path); }
+  ~TemporaryFolder() { std::filesystem::remove_all(path); }
   [[nodiscard]] std::string at(const std::string& name) const { return path + "/" + name; }
   std::string path;
 };
@@ -57,7 +57,7 @@
       LeaderTable{ProxyId{0}, true, {{"w1", 0.5}}, {{1, 0.75}}}};
 }
 
-TEST(RecordCodec, CarriesEveryKindOfInput) {
+TEST(RecordCodec, RoundTripsEveryKindOfInput) {
   const auto bytes = encode(some_inputs(), Instant{});
   const auto read = decode(bytes, Instant{});
   ASSERT_TRUE(std::holds_alternative<std::vector<Input>>(read)) << std::get<std::string>(read);
@@ -66,14 +66,14 @@
   EXPECT_EQ(encode(got, Instant{}), bytes);
   std::mt19937 chance{7};
   for (int k = 0; k < 4000; ++k) {
-    std::string bent = bytes;
-    bent[chance() % bent.size()] ^= static_cast<char>(1U << chance() % 8);
-    static_cast<void>(decode(bent, Instant{}));  // an answer, whatever it is
+    std::string damaged = bytes;
+    damaged[chance() % damaged.size()] ^= static_cast<char>(1U << chance() % 8);
+    static_cast<void>(decode(damaged, Instant{}));  // must return without a crash; the result may be either
     static_cast<void>(decode(std::string_view{bytes}.substr(0, chance() % bytes.size()), Instant{}));
   }
 }
 
-Recording some(std::size_t n) {
+Recording random_recording(std::size_t n) {
   Recording r;
   std::mt19937 chance{3};
   r.header.name = "pwani-1", r.header.settings = "settings", r.operations = {"read", "write"},
@@ -91,9 +91,9 @@
   return r;
 }
 
-TEST(RecordFile, GivesBackWhatWasWritten) {
-  const Folder folder;
-  const auto r = some(20000);
+TEST(RecordFile, ReadsBackWhatWasWritten) {
+  const TemporaryFolder folder;
+  const auto r = random_recording(20000);
   write(r, folder.at("a.h5"));
   const auto back = read(folder.at("a.h5"));
   EXPECT_EQ(back.header.name, "pwani-1");
@@ -111,22 +111,22 @@
   EXPECT_NE(export_as(back, "csv", "invocations").find("came_us,took_us,operation"), std::string::npos);
 }
 
-TEST(RecordFile, NamesWhatIsDamagedAndWhereAndNeverFalls) {
-  const Folder folder;
-  write(some(30000), folder.at("a.h5"));
+TEST(RecordFile, ReportsDamageWithTheFileNameAndNeverCrashes) {
+  const TemporaryFolder folder;
+  write(random_recording(30000), folder.at("a.h5"));
   std::ifstream in{folder.at("a.h5"), std::ios::binary};
   const std::string good{std::istreambuf_iterator<char>{in}, {}};
   std::mt19937 chance{11};
   int refused = 0;
   for (int k = 0; k < 150; ++k) {
-    std::string bent = good;
+    std::string damaged = good;
     if (k % 3 == 0) {
-      bent.resize(chance() % good.size());
+      damaged.resize(chance() % good.size());
     } else {
       for (int n = 0; n < 1 + k % 4; ++n)
-        bent[chance() % bent.size()] ^= static_cast<char>(1U << chance() % 8);
+        damaged[chance() % damaged.size()] ^= static_cast<char>(1U << chance() % 8);
     }
-    std::ofstream{folder.at("b.h5"), std::ios::binary} << bent;
+    std::ofstream{folder.at("b.h5"), std::ios::binary} << damaged;
     try {
       static_cast<void>(read(folder.at("b.h5"), 64U << 20U));
     } catch (const std::exception& fault) {
@@ -135,13 +135,12 @@
     }
   }
   EXPECT_GT(refused, 75);
-  EXPECT_THROW(static_cast<void>(read(folder.at("a.h5"), 1000)), std::runtime_error)
-      << "more than may be read";
+  EXPECT_THROW(static_cast<void>(read(folder.at("a.h5"), 1000)), std::runtime_error) << "the memory limit";
   EXPECT_THROW(static_cast<void>(read(folder.at("none.h5"))), std::runtime_error);
 }
 
-TEST(RecordFile, AnOlderSchemaIsReadAndALaterOneRefused) {
-  const Folder folder;
+TEST(RecordFile, ReadsOlderSchemasAndRejectsNewerOnes) {
+  const TemporaryFolder folder;
   for (const int schema : {1, 2, 3}) {
     Header h;
     h.schema = schema;
@@ -152,13 +151,14 @@
     if (schema == 3) {
       EXPECT_THROW(static_cast<void>(read(folder.at("a.h5"))), std::runtime_error);
     } else {
-      EXPECT_EQ(read(folder.at("a.h5")).invocations.at(0).tries, schema == 1 ? 1 : 3) << "not known then";
+      EXPECT_EQ(read(folder.at("a.h5")).invocations.at(0).tries, schema == 1 ? 1 : 3)
+          << "schema 1 has no tries";
     }
   }
 }
 
-TEST(RecordFile, AKilledWriterLeavesWhatItFlushed) {
-  const Folder folder;
+TEST(RecordFile, AKilledWriterLeavesAFileReadableUpToTheLastFlush) {
+  const TemporaryFolder folder;
   for (int round = 0; round < 8; ++round) {
     const std::string file = folder.at("k" + std::to_string(round) + ".h5");
     int ready[2];
@@ -189,28 +189,28 @@
   }
 }
 
-TEST(Recorder, DetailGoesInTheStatedOrderAndIsCounted) {
+TEST(Recorder, DropsDetailInOrderAndCountsIt) {
   EXPECT_EQ(detail_for(0, 100), Detail::all);
   EXPECT_EQ(detail_for(50, 100), Detail::no_orders);
   EXPECT_EQ(detail_for(80, 100), Detail::no_inputs);
   EXPECT_EQ(detail_for(100, 100), Detail::nothing);
-  const Folder folder;
+  const TemporaryFolder folder;
   background::Executor background{net::monotonic_now};
   EXPECT_THROW(
       (Recorder{
           background, {folder.at("nowhere/a.h5"), 1U << 30U, 64}, {}, Instant{}, [](const std::string&) {}}),
       std::runtime_error);
-  // More than the writer keeps up with: nothing waits, and what was left out is counted.
+  // Steps arrive faster than they are written: the caller does not block, and dropped detail is counted.
   Recorder recorder{background, {folder.at("a.h5"), 1U << 30U, 4}, {}, Instant{}, [](const std::string&) {}};
   for (int k = 0; k < 3000; ++k) recorder.step(Instant::at_seconds(k), some_inputs(), Effects{});
-  const auto left = recorder.left_out();
+  const auto left = recorder.dropped_counts();
   EXPECT_GT(left.at("steps"), 0U);
   EXPECT_GE(left.at("orders"), left.at("inputs"));
 }
 
-// A coordinator's life, recorded, and stepped again.
-TEST(Replay, TheSameInputsGiveTheSameOrdersAndAnOtherOneIsFound) {
-  const Folder folder;
+// Records a coordinator and replays the recording.
+TEST(Replay, SameInputsGiveSameOrdersAndADifferenceIsFound) {
+  const TemporaryFolder folder;
   script::Day day;
   day.name = "d", day.origin = "x.test", day.zones = {"a", "b", "c"}, day.coordinators = {"a"};
   day.operations = {{"read", "idempotent", 1, Span::seconds(0.1), Span::seconds(1), Span::seconds(2), 1}};
@@ -250,17 +250,17 @@
   }
   auto r = read(folder.at("a.h5"));
   ASSERT_GT(r.steps.size(), 200U);
-  const auto same = lab::same_orders(r);
+  const auto same = lab::replay_steps(r);
   EXPECT_EQ(same.difference, "");
   EXPECT_EQ(same.compared, r.steps.size());
-  // One input less, far in: found at the first step that it changes.
+  // Inputs removed from step 62 on are found at the first step whose orders change.
   for (std::size_t k = 62; k < 120; ++k) r.steps[k].inputs = encode({}, Instant{});
-  const auto other = lab::same_orders(r);
+  const auto other = lab::replay_steps(r);
   EXPECT_NE(other.difference.find("recorded:"), std::string::npos);
   EXPECT_GE(other.compared, 62U);
 }
 
-TEST(Merge, FindsTheClocksOffsetFromCommonWorkers) {
+TEST(Merge, EstimatesTheClockOffsetFromCommonWorkers) {
   Recording a, b;
   for (int k = 0; k < 30; ++k)
     for (auto* r : {&a, &b}) {
@@ -283,11 +283,11 @@
   EXPECT_THROW(static_cast<void>(merge(a, Recording{})), std::runtime_error);
 }
 
-TEST(Override, PutsAValueInPlaceOrNamesWhatIsWrong) {
+TEST(Override, SetsAValueOrRejectsTheText) {
   const auto o = lab::read_override("rules.drain_grace=2s");
-  EXPECT_NE(lab::put("rules {\n  drain_grace = \"5s\"\n}\n", o).find("drain_grace = \"2s\""),
+  EXPECT_NE(lab::apply_override("rules {\n  drain_grace = \"5s\"\n}\n", o).find("drain_grace = \"2s\""),
             std::string::npos);
-  EXPECT_NE(lab::put("", o).find("rules {\n  drain_grace = \"2s\"\n}"), std::string::npos);
+  EXPECT_NE(lab::apply_override("", o).find("rules {\n  drain_grace = \"2s\"\n}"), std::string::npos);
   for (const char* bad : {"rules", "rules.x", ".x=1", "rules.=1", "rules.x="})
     EXPECT_THROW(static_cast<void>(lab::read_override(bad)), std::runtime_error) << bad;
 }
