--- a/bench/program_bench.cpp
+++ b/bench/program_bench.cpp
@@ -17,7 +17,7 @@
 #include <thread>
 
 #include "coordinator/coordinator.hpp"
-#include "dns/front.hpp"
+#include "dns/responder.hpp"
 #include "dns/server.hpp"
 #include "record/recorder.hpp"
 #include "runtime_api/driver.hpp"
@@ -49,8 +49,8 @@
   return s;
 }
 
-dns::FrontSettings front_settings(const Settings& s) {
-  dns::FrontSettings f{
+dns::ResponderSettings responder_settings(const Settings& s) {
+  dns::ResponderSettings f{
       "refill.test", "h.refill.test", {"ns.refill.test"}, *Address::parse("127.0.0.1"), 1, 1232, {}, 16, 2};
   for (const auto& op : s.operations) f.operations.push_back(op.name);
   return f;
@@ -251,14 +251,14 @@
 void answers() {
   Rig rig{16};
   rig.play(3);
-  dns::Front front{front_settings(rig.s), rig.core.group_map()};
-  front.publish(rig.published, rig.core.group_map());
+  dns::Responder responder{responder_settings(rig.s), rig.core.group_map()};
+  responder.publish(rig.published, rig.core.group_map());
   const Endpoint where = *Endpoint::parse("127.0.0.1:17353");
   const std::string srv = question("_place-order._tcp.refill.test", 33),
                     address = question("place-order.refill.test", 1);
   const auto serve = [&](std::span<const std::uint8_t> in, const Endpoint& from,
                          std::span<std::uint8_t> out) {
-    return front.answer(in, from.address, true, out).size;
+    return responder.answer(in, from.address, true, out).size;
   };
   const auto echo = [](std::span<const std::uint8_t> in, const Endpoint&, std::span<std::uint8_t> out) {
     std::copy(in.begin(), in.end(), out.begin());
@@ -294,8 +294,8 @@
 void changes() {
   Rig rig{600};
   rig.play(3);
-  dns::Front front{front_settings(rig.s), rig.core.group_map()};
-  front.publish(rig.published, rig.core.group_map());
+  dns::Responder responder{responder_settings(rig.s), rig.core.group_map()};
+  responder.publish(rig.published, rig.core.group_map());
   std::vector<double> steps, pauses;
   std::uint64_t orders = rig.core.counters().orders;
   const auto change = [&] {
@@ -305,12 +305,12 @@
     const auto began = std::chrono::steady_clock::now();
     rig.step({heard});
     const auto stepped = std::chrono::steady_clock::now();
-    front.publish(rig.published, rig.core.group_map());
+    responder.publish(rig.published, rig.core.group_map());
     steps.push_back(millis(stepped - began));
     pauses.push_back(millis(std::chrono::steady_clock::now() - began));
     // The channel's messages arrive a little later, each a version of its own.
     for (int k = 0; k < 3; ++k) rig.now = rig.now + Span::seconds(0.2), rig.step({});
-    front.publish(rig.published, rig.core.group_map());
+    responder.publish(rig.published, rig.core.group_map());
   };
   const Endpoint where = *Endpoint::parse("127.0.0.1:17354");
   const std::string srv = question("_place-order._tcp.refill.test", 33);
@@ -318,7 +318,7 @@
   {
     const Served s{where,
                    [&](std::span<const std::uint8_t> in, const Endpoint& from, std::span<std::uint8_t> out) {
-                     return front.answer(in, from.address, true, out).size;
+                     return responder.answer(in, from.address, true, out).size;
                    },
                    change};
     load = load_of(where, srv, 20000, 2);
@@ -347,8 +347,8 @@
     const bool with = (round + round / 2) % 2 == 1;  // neither always goes first
     Rig rig{300};
     rig.play(3);
-    dns::Front front{front_settings(rig.s), rig.core.group_map()};
-    front.publish(rig.published, rig.core.group_map());
+    dns::Responder responder{responder_settings(rig.s), rig.core.group_map()};
+    responder.publish(rig.published, rig.core.group_map());
     const auto file = (folder / "bench.h5").string();
     {
       background::Executor background{net::monotonic_now};
@@ -365,13 +365,13 @@
       const Served s{
           where,
           [&](std::span<const std::uint8_t> in, const Endpoint& from, std::span<std::uint8_t> out) {
-            return front.answer(in, from.address, true, out).size;
+            return responder.answer(in, from.address, true, out).size;
           },
           [&, last = net::monotonic_now()]() mutable {
             // As many steps with as without: what the clock says, however late the loop is.
             const Instant now = net::monotonic_now();
             rig.play((now - std::exchange(last, now)).seconds());
-            front.publish(rig.published, rig.core.group_map());
+            responder.publish(rig.published, rig.core.group_map());
           }};
       per_second[with ? 1 : 0].push_back(load_of(where, srv, 0, 2).per_second);
       longest[with ? 1 : 0] = std::max(longest[with ? 1 : 0], millis(rig.longest)),
@@ -647,8 +647,8 @@
   // second.
   Rig rig{16};
   rig.play(3);
-  dns::Front front{front_settings(rig.s), rig.core.group_map()};
-  front.publish(rig.published, rig.core.group_map());
+  dns::Responder responder{responder_settings(rig.s), rig.core.group_map()};
+  responder.publish(rig.published, rig.core.group_map());
   const std::string srv = question("_place-order._tcp.refill.test", 33);
   const Endpoint where = *Endpoint::parse("127.0.0.1:17355");
   double without = 0, with = 0;
@@ -661,7 +661,7 @@
       net::UdpServer udp{
           loop, where,
           [&](std::span<const std::uint8_t> in, const Endpoint& from, std::span<std::uint8_t> out) {
-            return front.answer(in, from.address, true, out).size;
+            return responder.answer(in, from.address, true, out).size;
           }};
       std::function<void()> turn = [&] {
         if (stop) return loop.stop();
--- a/src/lab/replay/compare.hpp
+++ b/src/lab/replay/compare.hpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "lab/replay/settings.hpp"
-#include "lab/world/world.hpp"
+#include "lab/simulation/simulation.hpp"
 
 namespace gorsemount::lab {
 
@@ -19,8 +19,8 @@
   std::string name;
   std::vector<Outcome> outcomes;  // by seed
   Tally whole;
-  std::vector<Tally> by_operation, by_zone, by_ten;
-  double worst_ten = 1;  // lowest service in any 10 s, summed over the seeds
+  std::vector<Tally> by_operation, by_zone, by_ten_seconds;
+  double worst_ten_seconds = 1;  // lowest service in any 10 s, summed over the seeds
   std::vector<std::string> broken;
 };
 // Mean of the paired differences by seed, with its 95% confidence interval.
@@ -32,7 +32,7 @@
 // The result does not depend on the number of jobs. Throws std::runtime_error for invalid settings.
 [[nodiscard]] std::vector<VariantResult> run_variants(const script::Day& day,
                                                       const std::vector<Variant>& variants, int seeds,
-                                                      int jobs, const WorldSettings& world,
+                                                      int jobs, const SimulationSettings& simulation,
                                                       const std::function<void(double)>& progress);
 // Quantile of Student's t distribution, two-sided 95%, by degrees of freedom.
 [[nodiscard]] double student_t95(std::size_t degrees);
--- a/src/lab/replay/windows.hpp
+++ b/src/lab/replay/windows.hpp
@@ -40,7 +40,7 @@
   Tally whole;  // extrapolated to the whole day
   std::vector<Tally> by_operation, by_zone;
   Difference service, against_first;  // with 95% intervals for the sampling of windows only
-  double worst_ten = 1;
+  double worst_ten_seconds = 1;
   std::vector<std::string> broken;
 };
 struct WindowedDay {
@@ -50,7 +50,7 @@
 };
 // The result does not depend on the number of jobs. Throws std::runtime_error for invalid settings.
 [[nodiscard]] WindowedDay run_windows(const script::Day& day, const std::vector<Variant>& variants,
-                                      const WindowPlan& plan, int jobs, const WorldSettings& world,
+                                      const WindowPlan& plan, int jobs, const SimulationSettings& simulation,
                                       const std::function<void(double)>& progress);
 [[nodiscard]] std::string text_report(const script::Day& day, const WindowedDay& played);
 
--- a/src/record/recorder.cpp
+++ b/src/record/recorder.cpp
@@ -95,13 +95,13 @@
   on_failure_(why);
 }
 
-background::StepResult Recorder::write_batch(std::size_t most) {
+background::StepResult Recorder::write_batch(std::size_t limit) {
   std::deque<QueuedStep> batch;
   bool more = false;
   {
     const std::lock_guard lock{lock_};
     if (failed_) return {};
-    for (; batch.size() < most && !queue_.empty(); queue_.pop_front())
+    for (; batch.size() < limit && !queue_.empty(); queue_.pop_front())
       batch.push_back(std::move(queue_.front()));
     more = !queue_.empty();
   }
--- a/src/record/recorder.hpp
+++ b/src/record/recorder.hpp
@@ -48,7 +48,7 @@
     coordinator::Effects effects;
     Detail detail = Detail::all;
   };
-  background::StepResult write_batch(std::size_t most);
+  background::StepResult write_batch(std::size_t limit);
   background::StepResult flush();
   void write(const QueuedStep& step);
   void fail(const std::string& why);
--- a/src/standins/client.cpp
+++ b/src/standins/client.cpp
@@ -136,17 +136,18 @@
   const Span left = op.integration_timeout - (loop_.now() - inv.came);
   auto* raw = http.get();
   auto held = std::make_shared<std::unique_ptr<net::HttpClient>>(std::move(http));
-  raw->ask({"POST", "/invoke/" + op.name, {}, inv.id, true},
-           std::max(Span::seconds(0.001), std::min(left, op.integration_timeout * kGiveUp)),
-           [this, number, to, held](net::HttpClient::Result result) {
-             if (result.outcome == net::HttpClient::Outcome::answered) {
-               pool_[to].push_back(std::move(*held));
-             } else {
-               // Not from within its own call.
-               loop_.soon([gone = std::make_shared<std::unique_ptr<net::HttpClient>>(std::move(*held))] {});
-             }
-             replied(number, to, result);
-           });
+  raw->send(
+      {"POST", "/invoke/" + op.name, {}, inv.id, true},
+      std::max(Span::seconds(0.001), std::min(left, op.integration_timeout * kGiveUp)),
+      [this, number, to, held](net::HttpClient::Result result) {
+        if (result.outcome == net::HttpClient::Outcome::answered) {
+          pool_[to].push_back(std::move(*held));
+        } else {
+          // Not from within its own call.
+          loop_.call_soon([gone = std::make_shared<std::unique_ptr<net::HttpClient>>(std::move(*held))] {});
+        }
+        replied(number, to, result);
+      });
 }
 
 void Client::replied(std::uint64_t number, const Endpoint&, const net::HttpClient::Result& result) {
--- a/tests/lab/windows_test.cpp
+++ b/tests/lab/windows_test.cpp
@@ -126,13 +126,13 @@
   auto day = some_day(900);
   day.troubles.push_back(crash(130, 20));
   day.phases.push_back({"noon", s(500), 1.6});
-  WorldSettings world;
+  SimulationSettings simulation;
   const std::vector<Variant> variants{{"as it is", "", {}},
                                       {"slow reports", "", {read_override("coordinator.report_every=4s")}}};
-  const auto whole = run_variants(day, variants, 1, 2, world, [](double) {});
+  const auto whole = run_variants(day, variants, 1, 2, simulation, [](double) {});
   WindowPlan plan;
   plan.length = s(100);
-  const auto windowed = run_windows(day, variants, plan, 1, world, [](double) {});
+  const auto windowed = run_windows(day, variants, plan, 1, simulation, [](double) {});
   for (std::size_t v = 0; v < 2; ++v) {
     EXPECT_NEAR(windowed.variants[v].whole.service(), whole[v].whole.service(), 0.01);
     EXPECT_NEAR(static_cast<double>(windowed.variants[v].whole.invocations),
@@ -143,7 +143,7 @@
   EXPECT_NEAR(windowed.variants[1].against_first.mean, whole[1].whole.service() - whole[0].whole.service(),
               0.01)
       << text_report(day, windowed);
-  const auto again = run_windows(day, variants, plan, 3, world, [](double) {});
+  const auto again = run_windows(day, variants, plan, 3, simulation, [](double) {});
   EXPECT_EQ(text_report(day, windowed), text_report(day, again))
       << "the result does not depend on the number of jobs";
 }
--- a/tests/lab/zone_drain_test.cpp
+++ b/tests/lab/zone_drain_test.cpp
@@ -33,7 +33,7 @@
   day.persons.push_back(person);
   const auto played = run_variants(day, {{"as it is", "", {}}}, 2, 1, {}, [](double) {});
   const Tally& all = played[0].whole;
-  EXPECT_GT(static_cast<double>(all.limited), 0.1 * static_cast<double>(all.invocations));
+  EXPECT_GT(static_cast<double>(all.rate_limited), 0.1 * static_cast<double>(all.invocations));
   EXPECT_GT(all.service(), 0.5);
 }
 
