--- a/bench/program_bench.cpp
+++ b/bench/program_bench.cpp
@@ -488,8 +488,8 @@
       s.targets.push_back(
           {ProxyId{static_cast<std::uint16_t>(30000 + k)}, "f" + std::to_string(k), at[k], ""});
     s.operations = {"refill-check"};
-    s.report_every = Span::seconds(1), s.read_back_every = Span::seconds(0.5);
-    s.answer_within = Span::seconds(1), s.redial_after = Span::seconds(0.2);
+    s.stats_interval = Span::seconds(1), s.verify_interval = Span::seconds(0.5);
+    s.response_timeout = Span::seconds(1), s.reconnect_delay = Span::seconds(0.2);
     driver = std::make_unique<runtime_api::Driver>(
         loop, s,
         runtime_api::DriverHooks{
--- a/src/standins/forwarder.hpp
+++ b/src/standins/forwarder.hpp
@@ -41,14 +41,14 @@
   // Of the next orders that many bytes are taken; what follows stays on the way. `then` gets the sender's
   // name.
   void cut_after(std::size_t bytes, std::function<void(const std::string& leader)> then);
-  void thaw() { runtime_.thaw(); }
-  void drop_frozen() { runtime_.drop_frozen(); }
+  void thaw() { runtime_.resume(); }
+  void drop_frozen() { runtime_.drop_paused(); }
   [[nodiscard]] const ForwarderSettings& settings() const { return s_; }
 
  private:
   using Key = std::pair<std::string, std::string>;
   struct Line {
-    forwarders::HeldLine held;
+    forwarders::ActualLine held;
     std::uint64_t tries = 0, errored = 0, failed = 0;  // failed: 5xx
     double latency = 0;
     int out = 0, in_a_row = 0;
