--- a/src/lab/replay/step_replay.hpp
+++ b/src/lab/replay/step_replay.hpp
@@ -1,4 +1,4 @@
-// A recording stepped again with the very inputs, under the settings that were recorded with it.
+// Replays a recording: steps a coordinator with the recorded inputs and settings, and compares its orders.
 #pragma once
 
 #include <cstddef>
@@ -10,11 +10,10 @@
 
 struct StepReplay {
   std::size_t compared = 0;
-  std::string
-      difference;       // of the first step that ordered otherwise: its input, and both orders; empty: none
-  std::string stopped;  // why nothing could be compared from some step on; empty: all was
+  std::string difference;  // describes the first step whose orders differ; empty: none
+  std::string stopped;     // why the comparison ended early; empty: all steps were compared
 };
-// Throws std::runtime_error for settings that can't be read.
+// Throws std::runtime_error for recorded settings or inputs that can't be read.
 [[nodiscard]] StepReplay replay_steps(const record::Recording& recording);
 
 }  // namespace gorsemount::lab
