--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -65,8 +65,10 @@
                               settings.runtime.forwarders[index].path});
   for (const auto& operation : settings.core.operations) driver.operations.push_back(operation.name);
   driver.shared = !settings.cluster.members.empty(), driver.leader = settings.cluster.member;
-  driver.report_every = settings.core.report_every, driver.read_back_every = settings.runtime.read_back_every;
-  driver.answer_within = settings.runtime.answer_within, driver.redial_after = settings.runtime.redial_after;
+  driver.stats_interval = settings.core.report_every,
+  driver.verify_interval = settings.runtime.read_back_every;
+  driver.response_timeout = settings.runtime.answer_within,
+  driver.reconnect_delay = settings.runtime.redial_after;
   return driver;
 }
 
--- a/src/lab/simulation/simulation.cpp
+++ b/src/lab/simulation/simulation.cpp
@@ -372,13 +372,13 @@
           if (const auto worker = worker_by_name.find(it->first.second); worker != worker_by_name.end())
             proxy.picks[k].push_back({worker->second, cumulative_weight += it->second.effective_weight()});
       const auto value = [&](const char* prefix, int otherwise) {
-        const auto it = proxy.held.values.find(prefix + operation);
-        return it == proxy.held.values.end() ? otherwise : it->second;
+        const auto it = proxy.held.variables.find(prefix + operation);
+        return it == proxy.held.variables.end() ? otherwise : it->second;
       };
       proxy.admission_level[k] = value("level_", 1000) / 1000.0, proxy.retry_mode[k] = value("tries_", 1);
       const int rate_limit = value("rate_", -1);
-      const auto retries = proxy.held.values.find("retries");
-      proxy.retry_budget = retries == proxy.held.values.end() ? -1 : retries->second;
+      const auto retries = proxy.held.variables.find("retries");
+      proxy.retry_budget = retries == proxy.held.variables.end() ? -1 : retries->second;
       proxy.rate_limit[k] = rate_limit < 0 || rate_limit >= 1'000'000'000 ? -1 : rate_limit / 10.0;
     }
   }
