--- a/src/app/day.cpp
+++ b/src/app/day.cpp
@@ -31,8 +31,8 @@
 
 namespace fs = std::filesystem;
 using standins::Audit;
-using standins::Count;
 using standins::Day;
+using standins::ServiceCounts;
 
 const Span kStartupDelay = Span::seconds(1.5);  // lets coordinators bind their sockets and probe every worker
 const Span kPollInterval = Span::seconds(0.05);
@@ -85,7 +85,7 @@
 // One fleet: its coordinator processes, its stand-in process and its folder.
 class Fleet {
  public:
-  Fleet(const Day& day, std::string file, std::string folder, standins::Places places,
+  Fleet(const Day& day, std::string file, std::string folder, standins::AddressPlan places,
         const std::vector<lab::Override>& changes, bool fixed_weights, bool show)
       : day_{day},
         day_file_{std::move(file)},
@@ -119,12 +119,12 @@
     if (show_) command.emplace_back("--show");
     stand_ins_.emplace(std::move(command), folder_ + "/errors.log");
     for (std::size_t number = 1; number <= coordinators_.size(); ++number) start_coordinator(number);
-    for (const auto& person : day_.persons)
-      loop.at(begin + person.at, [this, &person] {
+    for (const auto& scripted_command : day_.operator_commands)
+      loop.at(begin + scripted_command.at, [this, &scripted_command] {
         for (std::size_t number = 1; number <= coordinators_.size(); ++number)
           if (coordinators_[number - 1])
             static_cast<void>(
-                ctl({fmt::format("{}/pwani-{}.sock", folder_, number), "", {person.words}, false}));
+                ctl({fmt::format("{}/pwani-{}.sock", folder_, number), "", {scripted_command.text}, false}));
       });
     for (const auto& kill : day_.kills)
       for (std::size_t number = 1; number <= coordinators_.size(); ++number)
@@ -195,14 +195,14 @@
 
   const Day& day_;
   std::string day_file_, folder_;
-  standins::Places places_;
+  standins::AddressPlan places_;
   bool fixed_weights_, show_;
   std::optional<ChildProcess> stand_ins_;
   std::vector<std::unique_ptr<ChildProcess>> coordinators_;
   std::size_t processed_kills_ = 0;
 };
 
-void print_counts(const std::string& label, const Count& measured, const Count* baseline) {
+void print_counts(const std::string& label, const ServiceCounts& measured, const ServiceCounts* baseline) {
   std::string line =
       fmt::format("  {:<16} {:>6} {:>8.3f} {:>6} {:>8} {:>8} {:>8}", label, measured.invocations,
                   measured.service(), measured.late, measured.errored, measured.limited, measured.no_line);
@@ -225,7 +225,7 @@
         {"a table's leaving the channel to its application", &audit.in_force},
         {"a drain to the last invocation sent there", &audit.drain_to_last}})
     if (!reaction->seconds.empty())
-      std::printf("  from %-46s median %7.3f s, worst %7.3f s, of %zu\n", interval, reaction->middle(),
+      std::printf("  from %-46s median %7.3f s, worst %7.3f s, of %zu\n", interval, reaction->median(),
                   reaction->worst(), reaction->seconds.size());
   if (audit.cuts > 0) std::printf("  commands were truncated at %zu seeded byte offsets\n", audit.cuts);
   if (audit.disobedient_refused > 0)
@@ -244,7 +244,7 @@
       baseline != nullptr ? "      fixed  differs" : "");
   print_counts("whole day", measured.whole, baseline != nullptr ? &baseline->whole : nullptr);
   for (const auto& [name, counts] : measured.by_operation) {
-    const Count* baseline_counts = nullptr;
+    const ServiceCounts* baseline_counts = nullptr;
     if (baseline != nullptr)
       if (const auto it = baseline->by_operation.find(name); it != baseline->by_operation.end())
         baseline_counts = &it->second;
@@ -279,12 +279,12 @@
   const Instant begin = net::monotonic_now() + kStartupDelay;
   std::vector<std::unique_ptr<Fleet>> fleets;
   fleets.push_back(std::make_unique<Fleet>(day, options.day, folder + "/module",
-                                           standins::Places{options.octet}, changes, day.unsafe.fixed_weights,
-                                           !options.quiet));
+                                           standins::AddressPlan{options.octet}, changes,
+                                           day.unsafe.fixed_weights, !options.quiet));
   if (options.baseline)
     fleets.push_back(std::make_unique<Fleet>(day, options.day, folder + "/fixed",
-                                             standins::Places{options.octet + kOctetsPerFleet}, changes, true,
-                                             false));
+                                             standins::AddressPlan{options.octet + kOctetsPerFleet}, changes,
+                                             true, false));
   for (auto& fleet : fleets) fleet->start(loop, begin);
   bool interrupted = false;
   for (const int signal : {SIGINT, SIGTERM}) loop.on_signal(signal, [&] { interrupted = true, loop.stop(); });
--- a/src/lab/simulation/simulation.cpp
+++ b/src/lab/simulation/simulation.cpp
@@ -22,8 +22,8 @@
 using coordinator::Coordinator;
 using coordinator::Input;
 using script::Day;
-using script::Trouble;
-using script::TroubleKind;
+using script::InjectedFault;
+using script::InjectedFaultKind;
 
 namespace {
 
@@ -137,7 +137,7 @@
   int retries_since_report = 0;
   int retry_budget = -1;  // thousandths of first tries; negative: unlimited
   limits::RetryLimiter retry_limiter;
-  std::optional<TroubleKind> fault;
+  std::optional<InjectedFaultKind> fault;
   std::optional<Instant> leaderless_since;
   bool had_leader = false;
   std::vector<std::optional<Instant>> unserved_since;
@@ -256,7 +256,7 @@
   void build() {
     now = day_start - kStartupTime;
     const std::size_t zones = day.zones.size(), operation_count = day.operations.size();
-    const script::Places places;
+    const script::AddressPlan places;
     for (std::size_t z = 0; z < zones; ++z) sources.push_back({masked(places.clients_of(z).address, 16), 16});
     forwarder_places = script::forwarders_of(day, places);
     // Workers count all forwarders as one source: forwarders report their own counts, so only the sum
@@ -336,8 +336,9 @@
       schedule_at(day_start + day.kills[k].at, EventType::process_stop, static_cast<std::uint32_t>(k));
     for (std::size_t k = 0; k < day.phases.size(); ++k)
       schedule_at(day_start + day.phases[k].at, EventType::phase_start, static_cast<std::uint32_t>(k));
-    for (std::size_t k = 0; k < day.persons.size(); ++k)
-      schedule_at(day_start + day.persons[k].at, EventType::operator_command, static_cast<std::uint32_t>(k));
+    for (std::size_t k = 0; k < day.operator_commands.size(); ++k)
+      schedule_at(day_start + day.operator_commands[k].at, EventType::operator_command,
+                  static_cast<std::uint32_t>(k));
     schedule_after(Span::seconds(1), EventType::second_tick);
     schedule_after(Span::seconds(0.1), EventType::rule_check);
     if (day.churn > Span{}) schedule_after(day.churn, EventType::weight_churn);
@@ -519,7 +520,7 @@
       if (!workers[worker].up()) {
         add_input(process, coordinator::LoadPollFailed{*process.backend_ids[worker],
                                                        link_cut ? "timeout" : "refused"});
-      } else if (link_cut || workers[worker].fault() == TroubleKind::silent) {
+      } else if (link_cut || workers[worker].fault() == InjectedFaultKind::silent) {
         add_input(process, coordinator::LoadPollFailed{*process.backend_ids[worker], "timeout"});
       } else {
         // A delayed reply belongs to a request that was sent that much earlier.
@@ -654,7 +655,7 @@
     if (node.empty()) return;
     const Batch& batch = node.mapped();
     Proxy& proxy = proxies[batch.proxy];
-    if (proxy.fault == TroubleKind::forwarder_refuse) return;
+    if (proxy.fault == InjectedFaultKind::forwarder_refuse) return;
     if (batch.term) {
       if (*batch.term < proxy.highest_term && options.fencing) {
         ++outcome.stale_terms_rejected;
@@ -1256,9 +1257,9 @@
   }
 
   void start_fault(std::uint32_t fault_index) {
-    const Trouble& fault = day.troubles[fault_index];
+    const InjectedFault& fault = day.troubles[fault_index];
     affected[fault_index].clear();
-    using enum TroubleKind;
+    using enum InjectedFaultKind;
     switch (fault.kind) {
       case stale_list:
         roster_frozen = true;
@@ -1324,7 +1325,7 @@
         affected[fault_index].push_back(worker);
       }
       for (const auto worker : affected[fault_index]) {
-        if (fault.kind == TroubleKind::crash) {
+        if (fault.kind == InjectedFaultKind::crash) {
           this->crash_worker(worker);
         } else if (fault.kind == late_reports) {
           load_report_delay[worker] = Span::seconds(fault.size);
@@ -1349,15 +1350,15 @@
     draining_since[worker] = drain ? std::optional{now} : std::nullopt;
   }
   void end_fault(std::uint32_t fault_index) {
-    const Trouble& fault = day.troubles[fault_index];
-    using enum TroubleKind;
+    const InjectedFault& fault = day.troubles[fault_index];
+    using enum InjectedFaultKind;
     if (fault.kind == stale_list) roster_frozen = false, announce_roster();
     if (fault.kind == cut_link) cut_zone_links.clear();
     if (fault.kind == slow_link) slow_zone_links.clear();
     for (const auto worker : affected[fault_index]) {
       if (fault.kind >= forwarder_restart && fault.kind <= streams) {
         proxies[worker].fault.reset();
-      } else if (fault.kind == TroubleKind::crash) {
+      } else if (fault.kind == InjectedFaultKind::crash) {
         workers[worker].start(now, true);
       } else if (fault.kind == late_reports) {
         load_report_delay[worker] = {};
@@ -1622,7 +1623,7 @@
         return check_rules();
       case EventType::operator_command:
         for (auto& each : processes)
-          if (each.up) add_input(each, day.persons[event.target].order);
+          if (each.up) add_input(each, day.operator_commands[event.target].command);
         return;
       case EventType::store_write: {
         if (process->incarnation != event.detail) return;
@@ -1662,7 +1663,7 @@
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events;
   std::uint64_t sequence = 0;
   std::vector<Prefix> sources;
-  std::vector<script::ForwarderPlace> forwarder_places;
+  std::vector<script::ForwarderInstance> forwarder_places;
   std::vector<script::RosterLine> roster, configured_roster;
   std::vector<WorkerModel> workers;
   std::map<std::string, std::uint32_t> worker_by_name;
--- a/src/lab/simulation/worker_model.cpp
+++ b/src/lab/simulation/worker_model.cpp
@@ -4,7 +4,7 @@
 
 namespace gorsemount::lab {
 
-using script::TroubleKind;
+using script::InjectedFaultKind;
 
 namespace {
 
@@ -31,7 +31,7 @@
   return lost;
 }
 
-void WorkerModel::inject_fault(Instant now, TroubleKind kind, double size) {
+void WorkerModel::inject_fault(Instant now, InjectedFaultKind kind, double size) {
   if (!up_) return;
   advance(now);
   fault_ = kind, fault_size_ = size, fault_started_ = now;
@@ -43,11 +43,11 @@
   const auto before = *fault_;
   advance(now);
   fault_.reset();
-  if (before == TroubleKind::silent || before == TroubleKind::hang) {
+  if (before == InjectedFaultKind::silent || before == InjectedFaultKind::hang) {
     for (const auto& [attained, job] : running_) lost.push_back(job);
     lost.insert(lost.end(), queue_.begin(), queue_.end());
     running_.clear(), queue_.clear(), queued_work_ = 0;
-    if (before == TroubleKind::silent) start(now, true);
+    if (before == InjectedFaultKind::silent) start(now, true);
   }
   return lost;
 }
@@ -62,7 +62,7 @@
   if (running <= 0 || stalled()) return 0;
   double rate = spec_.speed * warm_up_factor(now) * std::min(1.0, spec_.cores / running) /
                 (1 + spec_.loss * std::max(0.0, running / spec_.cores - 1));
-  if (fault_ == TroubleKind::slow) rate /= std::max(1e-3, fault_size_);
+  if (fault_ == InjectedFaultKind::slow) rate /= std::max(1e-3, fault_size_);
   return rate;
 }
 
@@ -106,16 +106,17 @@
   if (!up_ || stalled()) return {};
   advance(now);
   const double capacity = spec_.cores * spec_.speed * warm_up_factor(now) /
-                          (fault_ == TroubleKind::slow ? std::max(1e-3, fault_size_) : 1);
+                          (fault_ == InjectedFaultKind::slow ? std::max(1e-3, fault_size_) : 1);
   const bool full = running_.size() >= static_cast<std::size_t>(spec_.slots);
   return 0.002 / (spec_.speed * warm_up_factor(now)) + (full ? queued_work_ / capacity : 0);
 }
 
 double WorkerModel::capacity(Instant now) const {
-  if (!up_ || stalled() || fault_ == TroubleKind::refuse || fault_ == TroubleKind::drain) return 0;
+  if (!up_ || stalled() || fault_ == InjectedFaultKind::refuse || fault_ == InjectedFaultKind::drain)
+    return 0;
   double capacity = spec_.cores * spec_.speed * warm_up_factor(now);
-  if (fault_ == TroubleKind::slow) capacity /= std::max(1e-3, fault_size_);
-  if (fault_ == TroubleKind::errors) capacity *= 1 - fault_size_;
+  if (fault_ == InjectedFaultKind::slow) capacity /= std::max(1e-3, fault_size_);
+  if (fault_ == InjectedFaultKind::errors) capacity *= 1 - fault_size_;
   return capacity;
 }
 
@@ -124,7 +125,7 @@
   coordinator::LoadSample sample;
   sample.boot = name_ + "-" + std::to_string(boot_count_);
   sample.uptime = (now - booted_at_).seconds() + (warm_at_ == booted_at_ ? 1e6 : 0);
-  sample.draining = fault_ == TroubleKind::drain;
+  sample.draining = fault_ == InjectedFaultKind::drain;
   const auto& [from, before] = busy_samples_.front();
   const double elapsed = (now - from).seconds();
   sample.util = std::min(
--- a/src/lab/simulation/worker_model.hpp
+++ b/src/lab/simulation/worker_model.hpp
@@ -49,11 +49,11 @@
   void start(Instant now, bool cold);
   // Returns the running and queued jobs, which are lost.
   std::vector<Job> crash(Instant now);
-  void inject_fault(Instant now, script::TroubleKind kind, double size);
+  void inject_fault(Instant now, script::InjectedFaultKind kind, double size);
   std::vector<Job> recover(Instant now);  // returns the jobs lost in a hang or a silent fault
   [[nodiscard]] bool up() const { return up_; }
   [[nodiscard]] bool healthy() const { return up_ && !fault_; }
-  [[nodiscard]] std::optional<script::TroubleKind> fault() const { return fault_; }
+  [[nodiscard]] std::optional<script::InjectedFaultKind> fault() const { return fault_; }
   [[nodiscard]] double fault_size() const { return fault_size_; }
 
   enum class Admission { accepted, refused, errored, dropped };
@@ -62,16 +62,18 @@
   template <class CallerWaiting>
   Admission submit(Instant now, Job job, std::mt19937& rng, CallerWaiting caller_waiting,
                    std::vector<Job>& started) {
-    if (fault_ == script::TroubleKind::silent) return Admission::dropped;
+    if (fault_ == script::InjectedFaultKind::silent) return Admission::dropped;
     Counts& counts = count(job);
-    const bool drain_over = fault_ == script::TroubleKind::drain && now - fault_started_ > spec_.drain_grace;
-    if (drain_over || fault_ == script::TroubleKind::refuse ||
+    const bool drain_over =
+        fault_ == script::InjectedFaultKind::drain && now - fault_started_ > spec_.drain_grace;
+    if (drain_over || fault_ == script::InjectedFaultKind::refuse ||
         queue_.size() >= static_cast<std::size_t>(spec_.queue_most)) {
       ++counts.refused;
       return Admission::refused;
     }
     ++counts.accepted;
-    if (fault_ == script::TroubleKind::errors && std::uniform_real_distribution<>{}(rng) < fault_size_) {
+    if (fault_ == script::InjectedFaultKind::errors &&
+        std::uniform_real_distribution<>{}(rng) < fault_size_) {
       ++counts.errored;
       return Admission::errored;
     }
@@ -121,7 +123,7 @@
   };
   Counts& count(const Job& job) { return counts_[job.source * operations_ + job.operation]; }
   [[nodiscard]] bool stalled() const {
-    return fault_ == script::TroubleKind::hang || fault_ == script::TroubleKind::silent;
+    return fault_ == script::InjectedFaultKind::hang || fault_ == script::InjectedFaultKind::silent;
   }
   [[nodiscard]] double rate_per_job(Instant now) const;  // work per second of each running job
   void advance(Instant now);
@@ -146,7 +148,7 @@
   WorkerSpec spec_;
   std::vector<Prefix> sources_;
   bool up_ = false, collapsed_ = false;
-  std::optional<script::TroubleKind> fault_;
+  std::optional<script::InjectedFaultKind> fault_;
   double fault_size_ = 1;
   Instant booted_at_, warm_at_, fault_started_, advanced_to_;
   int boot_count_ = 0;
--- a/src/script/day.cpp
+++ b/src/script/day.cpp
@@ -119,9 +119,9 @@
                                        "false_reports"};
   for (const auto* b : root.blocks("trouble", 1)) {
     config::Section in = section_of(*b, root);
-    Trouble t;
+    InjectedFault t;
     t.name = b->labels[0].first;
-    t.kind = static_cast<TroubleKind>(in.choice("kind", kinds, std::nullopt));
+    t.kind = static_cast<InjectedFaultKind>(in.choice("kind", kinds, std::nullopt));
     std::vector<std::string> zones = day.zones;
     zones.emplace_back("");
     t.zone = zones[in.choice("zone", zones, zones.size() - 1)];
@@ -134,7 +134,7 @@
       t.to = std::move(to);
     }
     t.one_way = in.flag("one_way", false);
-    if ((t.kind == TroubleKind::cut_link || t.kind == TroubleKind::slow_link) && t.zone.empty())
+    if ((t.kind == InjectedFaultKind::cut_link || t.kind == InjectedFaultKind::slow_link) && t.zone.empty())
       in.fault(in.at(), "a link's trouble needs a 'zone'");
     t.part = in.number("part", 1, {0, 1}), t.size = in.number("size", 1, {0, 1000});
     in.finish();
@@ -163,12 +163,12 @@
     const std::vector<std::string> orders{"drain zone", "undrain zone", "hold", "release"};
     constexpr Action what[] = {Action::drain_zone, Action::undrain_zone, Action::hold, Action::release};
     const std::size_t k = in.choice("order", orders, std::nullopt);
-    Person person;
-    if (k < 2) person.order.name = zone_in_day(in, day);
-    person.order.action = what[k], person.at = some(in, "at", std::nullopt);
-    person.words = orders[k] + (k < 2 ? " " + person.order.name : "");
+    ScriptedCommand scripted_command;
+    if (k < 2) scripted_command.command.name = zone_in_day(in, day);
+    scripted_command.command.action = what[k], scripted_command.at = some(in, "at", std::nullopt);
+    scripted_command.text = orders[k] + (k < 2 ? " " + scripted_command.command.name : "");
     in.finish();
-    day.persons.push_back(std::move(person));
+    day.operator_commands.push_back(std::move(scripted_command));
   }
   config::Section cuts = root.block("cuts");
   day.cuts.count = static_cast<int>(cuts.number("count", 0, {0, 1000, true}));
@@ -239,22 +239,22 @@
   return day;
 }
 
-Endpoint Places::worker(std::size_t zone, std::size_t number) const {
+Endpoint AddressPlan::worker(std::size_t zone, std::size_t number) const {
   const auto n = static_cast<unsigned>(number - 1);
   return {loopback(octet, static_cast<unsigned>(zone + 1), 1 + n % kAddresses),
           static_cast<std::uint16_t>(9000 + n / kAddresses)};
 }
-Address Places::client(std::size_t zone, std::size_t number) const {
+Address AddressPlan::client(std::size_t zone, std::size_t number) const {
   return loopback(octet + 1 + static_cast<unsigned>(zone), 0, static_cast<unsigned>(number));
 }
-Address Places::forwarder(std::size_t zone, std::size_t led_by, std::size_t number) const {
+Address AddressPlan::forwarder(std::size_t zone, std::size_t led_by, std::size_t number) const {
   return loopback(octet + 1 + static_cast<unsigned>(zone), static_cast<unsigned>(led_by),
                   static_cast<unsigned>(number));
 }
-Endpoint Places::coordinator(std::size_t number) const {
+Endpoint AddressPlan::coordinator(std::size_t number) const {
   return {loopback(octet, 0, static_cast<unsigned>(number)), 5300};
 }
-Prefix Places::clients_of(std::size_t zone) const {
+Prefix AddressPlan::clients_of(std::size_t zone) const {
   return {loopback(octet + 1 + static_cast<unsigned>(zone), 0, 0), 16};
 }
 
@@ -262,8 +262,8 @@
   return day.zones[zone] + "-" + std::to_string(number);
 }
 
-std::vector<ForwarderPlace> forwarders_of(const Day& day, const Places& places) {
-  std::vector<ForwarderPlace> all;
+std::vector<ForwarderInstance> forwarders_of(const Day& day, const AddressPlan& places) {
+  std::vector<ForwarderInstance> all;
   std::vector<std::size_t> numbers(day.zones.size(), 0);
   for (const auto& f : day.forwarders) {
     const auto zone =
@@ -277,7 +277,7 @@
   return all;
 }
 
-std::vector<RosterLine> roster_of(const Day& day, const Places& places) {
+std::vector<RosterLine> roster_of(const Day& day, const AddressPlan& places) {
   std::vector<RosterLine> lines;
   std::vector<std::size_t> numbers(day.zones.size(), 0);
   for (const auto& w : day.workers) {
@@ -300,7 +300,7 @@
   return text;
 }
 
-std::string coordinator_settings(const Day& day, const Places& places, std::size_t number,
+std::string coordinator_settings(const Day& day, const AddressPlan& places, std::size_t number,
                                  const std::string& folder) {
   const auto s = [](Span span) { return fmt::format("{}ms", span.micros() / 1000); };
   std::string text = fmt::format(
--- a/src/script/day.hpp
+++ b/src/script/day.hpp
@@ -50,7 +50,7 @@
   double rate = 1;             // invocations a second, each client
   bool two_choice = false;
 };
-enum class TroubleKind {
+enum class InjectedFaultKind {
   crash,
   hang,
   errors,
@@ -73,11 +73,11 @@
   ageing,
   false_reports
 };
-struct Trouble {
+struct InjectedFault {
   std::string name, zone;  // zone empty: all
   std::string to;          // of links: the other zone; empty: all others
   bool one_way = false;    // of links: only from `zone`
-  TroubleKind kind = TroubleKind::crash;
+  InjectedFaultKind kind = InjectedFaultKind::crash;
   Span at, lasts;
   int count = 0;  // workers of the zone, the first that are well; 0: by part
   double part = 1;
@@ -91,10 +91,10 @@
   bool planned = false;  // it is asked to stop (SIGTERM), and hands over what it leads first
 };
 // What a person orders of all coordinators.
-struct Person {
-  std::string words;  // as at the operators' socket
+struct ScriptedCommand {
+  std::string text;  // as at the operators' socket
   Span at;
-  coordinator::OperatorCommand order;
+  coordinator::OperatorCommand command;
 };
 // Orders cut at seeded byte offsets: the sender is killed, or stands still and wakes, while the rest is on
 // its way.
@@ -125,10 +125,10 @@
   std::vector<DayForwarders> forwarders;
   double fleet_rate = 0;
   std::vector<Phase> phases;
-  std::vector<Trouble> troubles;
+  std::vector<InjectedFault> troubles;
   std::vector<std::string> coordinators;  // zones they stand in; the name is pwani-N in order
   std::vector<Kill> kills;
-  std::vector<Person> persons;
+  std::vector<ScriptedCommand> operator_commands;
   Cuts cuts;
   Span churn;  // listed weights move that often; 0: never
   Span drain_grace, cold_for, unserved, tip_after;
@@ -150,7 +150,7 @@
 
 // Where things stand on loopback. `octet`: the second byte of all addresses of one run, 10 to 200; runs whose
 // octets differ by 10 or more don't meet.
-struct Places {
+struct AddressPlan {
   unsigned octet = 10;
   [[nodiscard]] Endpoint worker(std::size_t zone,
                                 std::size_t number) const;  // 127.octet.zone+1.number, 250 a port
@@ -162,16 +162,16 @@
   [[nodiscard]] Prefix clients_of(std::size_t zone) const;
 };
 
-struct ForwarderPlace {
+struct ForwarderInstance {
   std::string name, zone;
   std::size_t led_by = 1;
   Address at;
   DayForwarders kind;
 };
-[[nodiscard]] std::vector<ForwarderPlace> forwarders_of(const Day& day, const Places& places);
+[[nodiscard]] std::vector<ForwarderInstance> forwarders_of(const Day& day, const AddressPlan& places);
 [[nodiscard]] std::string worker_name(const Day& day, std::size_t zone, std::size_t number);
 // The settings file of one coordinator, and the roster.
-[[nodiscard]] std::string coordinator_settings(const Day& day, const Places& places, std::size_t number,
+[[nodiscard]] std::string coordinator_settings(const Day& day, const AddressPlan& places, std::size_t number,
                                                const std::string& folder);
 struct RosterLine {
   std::string name, zone;
@@ -180,7 +180,7 @@
   bool draining = false;
 };
 [[nodiscard]] std::string roster_text(const std::vector<RosterLine>& lines);
-[[nodiscard]] std::vector<RosterLine> roster_of(const Day& day, const Places& places);
+[[nodiscard]] std::vector<RosterLine> roster_of(const Day& day, const AddressPlan& places);
 
 }  // namespace gorsemount::script
 
--- a/src/standins/auditor.cpp
+++ b/src/standins/auditor.cpp
@@ -224,22 +224,23 @@
   for (const auto& op : day.operations) value[op.name] = op.billed_value;
   std::map<std::string, std::size_t> phase_of;  // by invocation
   for (const auto& r : records) {
-    if (r.what == "phase") audit.by_phase.emplace_back(r.text("name"), Count{});
+    if (r.what == "phase") audit.by_phase.emplace_back(r.text("name"), ServiceCounts{});
     if (r.what == "asked") {
-      if (audit.by_phase.empty()) audit.by_phase.emplace_back("start", Count{});
+      if (audit.by_phase.empty()) audit.by_phase.emplace_back("start", ServiceCounts{});
       phase_of[r.text("id")] = audit.by_phase.size() - 1;
     }
     if (r.what != "asked" && r.what != "done") continue;
     const std::string op = r.text("operation");
-    for (Count* c : {&audit.whole, &audit.by_operation[op], &audit.by_phase[phase_of[r.text("id")]].second}) {
+    for (ServiceCounts* c :
+         {&audit.whole, &audit.by_operation[op], &audit.by_phase[phase_of[r.text("id")]].second}) {
       if (r.what == "asked") {
-        c->asked += value[op], ++c->invocations;
+        c->offered_value += value[op], ++c->invocations;
         continue;
       }
       const std::string outcome = r.text("outcome");
-      if (outcome == "succeeded") c->in_time += value[op];
+      if (outcome == "succeeded") c->value_in_time += value[op];
       c->late += outcome == "late", c->errored += outcome == "errored";
-      c->limited += outcome == "rate_limited", c->no_line += outcome == "no_line";
+      c->rate_limited += outcome == "rate_limited", c->no_line += outcome == "no_line";
     }
   }
 }
@@ -254,8 +255,8 @@
   std::map<std::string, std::pair<std::int64_t, std::int64_t>> draining;  // by worker: told, last sent
   std::map<std::string, bool> obeys;
   const auto settle = [&](const Down& d) {
-    if (d.first_without) audit.crash_to_answer.seconds.push_back(seconds(*d.first_without - d.since));
-    if (d.last_with) audit.crash_to_last.seconds.push_back(seconds(*d.last_with - d.since));
+    if (d.first_without) audit.crash_to_first_removal.seconds.push_back(seconds(*d.first_without - d.since));
+    if (d.last_with) audit.crash_to_last_listing.seconds.push_back(seconds(*d.last_with - d.since));
   };
   for (const auto& r : records) {
     if (r.what == "start") {
@@ -274,7 +275,7 @@
       draining[r.text("worker")] = {r.t, r.t};
     } else if (r.what == "told_ready") {
       if (const auto it = draining.find(r.text("worker")); it != draining.end()) {
-        audit.drain_to_last.seconds.push_back(seconds(it->second.second - it->second.first));
+        audit.drain_to_last_send.seconds.push_back(seconds(it->second.second - it->second.first));
         draining.erase(it);
       }
     } else if (r.what == "sent") {
@@ -289,7 +290,7 @@
     if (r.what == "left") left[r.text("forwarder")] = r.t;
     const auto it = r.what == "joined" ? left.find(r.text("forwarder")) : left.end();
     if (it == left.end()) continue;
-    audit.unled.seconds.push_back(seconds(r.t - it->second));
+    audit.leaderless_times.seconds.push_back(seconds(r.t - it->second));
     left.erase(it);
   }
   for (const auto& r : records) audit.cuts += r.what == "cut" ? 1 : 0;
@@ -299,13 +300,13 @@
 
 }  // namespace
 
-double Reaction::middle() const {
+double ReactionTimes::median() const {
   if (seconds.empty()) return 0;
   std::vector<double> sorted = seconds;
   std::sort(sorted.begin(), sorted.end());
   return sorted[sorted.size() / 2];
 }
-double Reaction::worst() const {
+double ReactionTimes::worst() const {
   return seconds.empty() ? 0 : *std::max_element(seconds.begin(), seconds.end());
 }
 
--- a/src/standins/forwarder.cpp
+++ b/src/standins/forwarder.cpp
@@ -72,9 +72,9 @@
   cut_bytes_ = bytes, cut_ = std::move(then);
 }
 
-void Forwarder::fault(std::optional<TroubleKind> kind) {
-  const bool slow = kind == TroubleKind::forwarder_slow;
-  if ((fault_ == TroubleKind::forwarder_slow) != slow) runtime_.set_paused(slow);
+void Forwarder::inject_fault(std::optional<InjectedFaultKind> kind) {
+  const bool slow = kind == InjectedFaultKind::forwarder_slow;
+  if ((fault_ == InjectedFaultKind::forwarder_slow) != slow) runtime_.set_paused(slow);
   fault_ = kind;
 }
 
@@ -113,7 +113,7 @@
   if (is({"show", "servers", "state"})) {
     if (led_by_.insert(peer).second) recorder_.write(loop_.now(), "joined", {{"forwarder", s_.name}});
     const std::string whole = servers_state();
-    return fault_ == TroubleKind::forwarder_half ? whole.substr(0, whole.size() * 5 / 8) : whole;
+    return fault_ == InjectedFaultKind::forwarder_half ? whole.substr(0, whole.size() * 5 / 8) : whole;
   }
   if (is({"show", "stat"})) return stat();
   if (is({"get", "var", "proc.gm_term"}))
@@ -121,7 +121,7 @@
                          : fmt::format("proc.gm_term: type=sint value=<{}>\n", highest_);
   const bool changes = is({"set"}) || is({"add"}) || is({"del"}) || is({"enable"}) || is({"disable"});
   if (!changes) return fmt::format("Unknown command: '{}'.\n", words.empty() ? "" : words[0]);
-  if (fault_ == TroubleKind::forwarder_refuse) return "Permission denied\n";
+  if (fault_ == InjectedFaultKind::forwarder_refuse) return "Permission denied\n";
   if (is({"set", "var", "proc.gm_term"}) && words.size() == 4 && words[3].starts_with("int(")) {
     const std::uint64_t term = std::strtoull(words[3].c_str() + 4, nullptr, 10);
     terms_[peer] = term;
@@ -228,7 +228,7 @@
 std::string Forwarder::stat() const {
   std::string out =
       "# pxname,svname,qcur,qmax,scur,stot,econ,eresp,wredis,weight,hrsp_2xx,hrsp_5xx,ttime,extra,\n";
-  const bool lies = fault_ == TroubleKind::forwarder_lie;
+  const bool lies = fault_ == InjectedFaultKind::forwarder_lie;
   for (const auto& op : s_.operations) {
     for (const auto& [key, line] : lines_)
       if (key.first == op.name)
--- a/src/standins/forwarder.hpp
+++ b/src/standins/forwarder.hpp
@@ -37,7 +37,7 @@
 
   void restart();  // as its configuration has it: what it was told is forgotten
   void break_streams();
-  void fault(std::optional<TroubleKind> kind);
+  void inject_fault(std::optional<InjectedFaultKind> kind);
   // Of the next orders that many bytes are taken; what follows stays on the way. `then` gets the sender's
   // name.
   void cut_after(std::size_t bytes, std::function<void(const std::string& leader)> then);
@@ -80,7 +80,7 @@
   std::map<std::string, std::uint64_t> arrived_, further_;
   limits::RetryLimiter meter_;
   std::map<std::string, std::pair<double, Instant>> tokens_;  // of rates, by operation
-  std::optional<TroubleKind> fault_;
+  std::optional<InjectedFaultKind> fault_;
   Instant started_, still_until_;  // it stands still while it reads lines
   runtime_api::CommandServer runtime_;
   std::unique_ptr<net::Listener> listener_;
--- a/src/standins/play.cpp
+++ b/src/standins/play.cpp
@@ -151,7 +151,7 @@
     }
   }
 
-  void strike_forwarders(const Trouble& t) {
+  void strike_forwarders(const InjectedFault& t) {
     std::vector<Forwarder*> in_zone, struck;
     for (auto& f : forwarders_)
       if (t.zone.empty() || f->settings().zone == t.zone) in_zone.push_back(f.get());
@@ -161,23 +161,23 @@
       if (struck.size() < n) struck.push_back(f);
     for (auto* f : struck) {
       recorder_.write(loop_.now(), "trouble", {{"name", t.name}, {"forwarder", f->settings().name}});
-      if (t.kind == TroubleKind::forwarder_restart) {
+      if (t.kind == InjectedFaultKind::forwarder_restart) {
         f->restart();
-      } else if (t.kind == TroubleKind::streams) {
+      } else if (t.kind == InjectedFaultKind::streams) {
         f->break_streams();
       } else {
-        f->fault(t.kind);
+        f->inject_fault(t.kind);
       }
     }
     loop_.after(t.lasts, [struck] {
-      for (auto* f : struck) f->fault(std::nullopt);
+      for (auto* f : struck) f->inject_fault(std::nullopt);
     });
   }
 
-  void strike(const Trouble& t) {
-    if (t.kind >= TroubleKind::forwarder_restart && t.kind <= TroubleKind::streams)
+  void strike(const InjectedFault& t) {
+    if (t.kind >= InjectedFaultKind::forwarder_restart && t.kind <= InjectedFaultKind::streams)
       return strike_forwarders(t);
-    if (t.kind == TroubleKind::stale_list) {
+    if (t.kind == InjectedFaultKind::stale_list) {
       stale_ = true;
       loop_.after(t.lasts, [this] {
         stale_ = false;
@@ -186,7 +186,7 @@
       return;
     }
     // Links between loopback addresses can't be cut or slowed; the world plays these.
-    if (t.kind == TroubleKind::cut_link || t.kind == TroubleKind::slow_link)
+    if (t.kind == InjectedFaultKind::cut_link || t.kind == InjectedFaultKind::slow_link)
       return recorder_.write(loop_.now(), "not_played", {{"name", t.name}});
     std::vector<Worker*> in_zone, struck;
     for (auto& w : workers_)
@@ -197,18 +197,18 @@
       if (struck.size() < n && w->well()) struck.push_back(w);
     for (auto* w : struck) {
       recorder_.write(loop_.now(), "trouble", {{"name", t.name}, {"worker", w->settings().name}});
-      if (t.kind == TroubleKind::crash) {
+      if (t.kind == InjectedFaultKind::crash) {
         w->crash();
-      } else if (t.kind != TroubleKind::drain || !day_.unsafe.drain_untold) {
-        w->trouble(t.kind, t.kind == TroubleKind::errors ? t.part : t.size);
+      } else if (t.kind != InjectedFaultKind::drain || !day_.unsafe.drain_untold) {
+        w->trouble(t.kind, t.kind == InjectedFaultKind::errors ? t.part : t.size);
       }
-      if (t.kind == TroubleKind::drain) drain(*w, true);
+      if (t.kind == InjectedFaultKind::drain) drain(*w, true);
     }
     loop_.after(t.lasts, [this, &t, struck] {
       for (auto* w : struck) {
         recorder_.write(loop_.now(), "over", {{"name", t.name}, {"worker", w->settings().name}});
-        if (t.kind == TroubleKind::drain) drain(*w, false);
-        if (t.kind == TroubleKind::crash) {
+        if (t.kind == InjectedFaultKind::drain) drain(*w, false);
+        if (t.kind == InjectedFaultKind::crash) {
           w->start();
         } else {
           w->recover();
--- a/src/standins/play.hpp
+++ b/src/standins/play.hpp
@@ -8,7 +8,7 @@
 namespace gorsemount::standins {
 
 struct PlayOptions {
-  Places places;
+  AddressPlan places;
   std::string folder;  // for records and the roster
   Instant start;       // when the day begins, so that two fleets and their coordinators keep step
   bool show = false;   // a live line of weights by zone
--- a/src/standins/worker.cpp
+++ b/src/standins/worker.cpp
@@ -73,11 +73,11 @@
   for (const auto& [number, peer] : std::exchange(peers_, {})) peer->connection->abort();
 }
 
-void Worker::trouble(TroubleKind kind, double size) {
+void Worker::trouble(InjectedFaultKind kind, double size) {
   if (!up_) return;
   trouble_ = kind, trouble_size_ = size;
-  if (kind == TroubleKind::drain) drained_ = loop_.now();
-  if (kind == TroubleKind::hang || kind == TroubleKind::silent) {
+  if (kind == InjectedFaultKind::drain) drained_ = loop_.now();
+  if (kind == InjectedFaultKind::hang || kind == InjectedFaultKind::silent) {
     for (auto& [number, timer] : timers_) loop_.cancel(timer);
     timers_.clear();
   }
@@ -85,12 +85,12 @@
 
 void Worker::recover() {
   if (!up_ || !trouble_) return;
-  const TroubleKind was = *trouble_;
+  const InjectedFaultKind was = *trouble_;
   trouble_.reset();
-  if (was == TroubleKind::silent) {
+  if (was == InjectedFaultKind::silent) {
     crash();
     start();
-  } else if (was == TroubleKind::hang) {
+  } else if (was == InjectedFaultKind::hang) {
     // What hung is lost: its callers have left, and their connections with it.
     account();
     for (const auto& [number, job] : std::exchange(running_, {}))
@@ -122,11 +122,11 @@
 
 void Worker::request(const std::shared_ptr<net::Connection>& connection, const Address& from,
                      const net::Request& request) {
-  if (!up_ || trouble_ == TroubleKind::silent) return;
+  if (!up_ || trouble_ == InjectedFaultKind::silent) return;
   if (request.target == "/load") {
     const auto reply = net::write(net::Response{200, {{"Content-Type", "application/json"}}, load(), true});
     // What is slow to tell, tells of the past.
-    if (trouble_ == TroubleKind::late_reports) {
+    if (trouble_ == InjectedFaultKind::late_reports) {
       loop_.after(Span::seconds(trouble_size_), [weak = std::weak_ptr{connection}, reply] {
         if (const auto c = weak.lock(); c && c->open()) c->send(reply);
       });
@@ -136,7 +136,7 @@
     return;
   }
   if (request.target == "/health") {
-    if (trouble_ == TroubleKind::hang) return;
+    if (trouble_ == InjectedFaultKind::hang) return;
     Job job{connection, -1, "", {}, kHealthWork, loop_.now()};
     queue_.push_back(std::move(job));
     return pump();
@@ -154,9 +154,9 @@
   // Half to twice the mean, as most real work spreads.
   job.work = op.work.seconds() * std::uniform_real_distribution<>{0.6, 1.4}(chance_);
   Counts& counts = counts_[{operation, job.source}];
-  const bool draining = trouble_ == TroubleKind::drain && loop_.now() - drained_ > s_.drain_grace;
-  const bool refused =
-      draining || trouble_ == TroubleKind::refuse || queue_.size() >= static_cast<std::size_t>(s_.queue_most);
+  const bool draining = trouble_ == InjectedFaultKind::drain && loop_.now() - drained_ > s_.drain_grace;
+  const bool refused = draining || trouble_ == InjectedFaultKind::refuse ||
+                       queue_.size() >= static_cast<std::size_t>(s_.queue_most);
   recorder_.write(
       loop_.now(), "arrived",
       {{"worker", s_.name}, {"id", job.id}, {"work", refused ? 0 : job.work}, {"refused", refused}});
@@ -165,7 +165,7 @@
     return answer(job, 503, true);
   }
   ++counts.taken;
-  if (trouble_ == TroubleKind::errors && std::uniform_real_distribution<>{}(chance_) < trouble_size_) {
+  if (trouble_ == InjectedFaultKind::errors && std::uniform_real_distribution<>{}(chance_) < trouble_size_) {
     ++counts.errored;
     return answer(job, 500);
   }
@@ -184,7 +184,7 @@
 
 void Worker::pump() {
   account();
-  if (trouble_ == TroubleKind::hang || trouble_ == TroubleKind::silent) return;
+  if (trouble_ == InjectedFaultKind::hang || trouble_ == InjectedFaultKind::silent) return;
   while (!queue_.empty() && static_cast<double>(running_.size()) < s_.cores) {
     Job job = std::move(queue_.front());
     queue_.pop_front();
@@ -196,7 +196,7 @@
     }
     const std::uint64_t number = ++number_;
     double takes = job.work / (s_.speed * warmth());
-    if (trouble_ == TroubleKind::slow || trouble_ == TroubleKind::ageing) takes *= trouble_size_;
+    if (trouble_ == InjectedFaultKind::slow || trouble_ == InjectedFaultKind::ageing) takes *= trouble_size_;
     if (job.operation >= 0)
       recorder_.write(loop_.now(), "began",
                       {{"worker", s_.name},
@@ -239,8 +239,8 @@
   nlohmann::json out{
       {"boot", boot_},
       {"uptime_s", (loop_.now() - started_).seconds() + (warm_at_ == started_ ? 1e6 : 0)},
-      {"state", trouble_ == TroubleKind::drain ? "draining" : "ready"},
-      {"util", std::min(1.0, util * (trouble_ == TroubleKind::false_reports ? trouble_size_ : 1))},
+      {"state", trouble_ == InjectedFaultKind::drain ? "draining" : "ready"},
+      {"util", std::min(1.0, util * (trouble_ == InjectedFaultKind::false_reports ? trouble_size_ : 1))},
       {"queue", queue_.size()},
       {"counts", nlohmann::json::array()}};
   for (const auto& [key, c] : counts_)
--- a/src/standins/worker.hpp
+++ b/src/standins/worker.hpp
@@ -31,10 +31,10 @@
   Worker(const Worker&) = delete;
   Worker& operator=(const Worker&) = delete;
 
-  void crash();                                 // down, with resets
-  void start();                                 // up again, cold
-  void trouble(TroubleKind kind, double size);  // hang, errors, slow, silent, refuse, drain
-  void recover();                               // the trouble is over; what hung is lost
+  void crash();                                       // down, with resets
+  void start();                                       // up again, cold
+  void trouble(InjectedFaultKind kind, double size);  // hang, errors, slow, silent, refuse, drain
+  void recover();                                     // the trouble is over; what hung is lost
   [[nodiscard]] bool well() const { return up_ && !trouble_; }
   [[nodiscard]] const WorkerSettings& settings() const { return s_; }
 
@@ -70,7 +70,7 @@
   WorkerSettings s_;
   std::mt19937 chance_;
   bool up_ = false, fallen_ = false;
-  std::optional<TroubleKind> trouble_;
+  std::optional<InjectedFaultKind> trouble_;
   double trouble_size_ = 1;
   Instant started_, drained_, warm_at_;
   int boots_ = 0;
