--- a/bench/bad-day-300.hcl
+++ b/bench/bad-day-300.hcl
@@ -1,4 +1,4 @@
-# 5 controllers that share 150 forwarders, 300 workers in three zones: for `gorsemount simulate --faults`.
+# 5 controllers share 150 forwarders and 300 workers in three zones: for `gorsemount simulate --faults`.
 day {
   name   = "fleet-300"
   length = "30s"
--- a/bench/long-day-300.hcl
+++ b/bench/long-day-300.hcl
@@ -1,4 +1,4 @@
-# A whole day of 24 hours: 300 workers, 116 forwarders, up to 2,300 invocations a second. To be replayed in windows.
+# 24 hours with 300 workers, 116 forwarders and up to 2,300 invocations a second, to be replayed in windows.
 day {
   name   = "long-day-300"
   length = "24h"
--- a/bench/program_bench.cpp
+++ b/bench/program_bench.cpp
@@ -441,7 +441,7 @@
       }
       std::function<void()> watch = [&] {
         if (stop_) return loop.stop();
-        if (slow && halt_) fronts[0]->fault(standins::TroubleKind::forwarder_slow);
+        if (slow && halt_) fronts[0]->inject_fault(standins::InjectedFaultKind::forwarder_slow);
         loop.after(Span::seconds(0.01), watch);
       };
       watch();
--- a/bench/restart-300.hcl
+++ b/bench/restart-300.hcl
@@ -1,4 +1,4 @@
-# A zone answers a third of its work with errors from 6 s on; its drain is under way when the coordinator is killed.
+# From 6 s on, a third of one zone's responses are errors; the coordinator is killed while it drains that zone.
 day {
   name   = "restart-300"
   length = "80s"
--- a/bench/rolling-300.hcl
+++ b/bench/rolling-300.hcl
@@ -1,4 +1,4 @@
-# Five controllers that share the fleet are restarted one after the other, as planned.
+# A rolling restart: five controllers that share the fleet are stopped and restarted one after the other.
 day {
   name   = "rolling-300"
   length = "40s"
--- a/bench/speed-300.hcl
+++ b/bench/speed-300.hcl
@@ -1,4 +1,4 @@
-# One coordinator, 300 workers, 99 forwarders, 2,300 invocations a second: for the speed of replays.
+# One coordinator, 300 workers, 99 forwarders, 2,300 invocations a second: measures the speed of replays.
 day {
   name   = "speed-300"
   length = "40s"
--- a/bench/ten-restarts-300.hcl
+++ b/bench/ten-restarts-300.hcl
@@ -1,4 +1,4 @@
-# A zone answers a third of its work with errors from 6 s on, and the coordinator is killed ten times within a minute.
+# From 6 s on, a third of one zone's responses are errors; the coordinator is killed ten times within a minute.
 day {
   name   = "ten-restarts-300"
   length = "110s"
--- a/bench/thousand.hcl
+++ b/bench/thousand.hcl
@@ -1,4 +1,4 @@
-# A thousand workers in four sites, for the memory that a coordinator takes: see docs/dns.md.
+# A thousand workers in four sites: measures a coordinator's memory (see docs/dns.md).
 day {
   name   = "thousand"
   length = "14s"
--- a/bench/zone-loss-300.hcl
+++ b/bench/zone-loss-300.hcl
@@ -1,4 +1,4 @@
-# A whole zone goes at month end and comes back cold.
+# A whole zone fails at month end and returns cold.
 day {
   name   = "zone-loss-300"
   length = "115s"
--- a/src/app/day.cpp
+++ b/src/app/day.cpp
@@ -31,8 +31,8 @@
 
 namespace fs = std::filesystem;
 using standins::Audit;
-using standins::Count;
 using standins::Day;
+using standins::ServiceCounts;
 
 const Span kPrelude = Span::seconds(1.5);  // for coordinators to bind and hear of every worker
 const Span kPoll = Span::seconds(0.05);
@@ -85,7 +85,7 @@
 // One fleet: its coordinators, its stand-ins, its folder.
 class Fleet {
  public:
-  Fleet(const Day& day, std::string file, std::string folder, standins::Places places,
+  Fleet(const Day& day, std::string file, std::string folder, standins::AddressPlan places,
         const std::vector<lab::Override>& changes, bool fixed, bool show)
       : day_{day},
         file_{std::move(file)},
@@ -119,11 +119,12 @@
     if (show_) command.emplace_back("--show");
     stage_.emplace(std::move(command), folder_ + "/errors.log");
     for (std::size_t k = 1; k <= coordinators_.size(); ++k) start_coordinator(k);
-    for (const auto& person : day_.persons)
-      loop.at(begin + person.at, [this, &person] {
+    for (const auto& scripted_command : day_.operator_commands)
+      loop.at(begin + scripted_command.at, [this, &scripted_command] {
         for (std::size_t k = 1; k <= coordinators_.size(); ++k)
           if (coordinators_[k - 1])
-            static_cast<void>(ctl({fmt::format("{}/pwani-{}.sock", folder_, k), "", {person.words}, false}));
+            static_cast<void>(
+                ctl({fmt::format("{}/pwani-{}.sock", folder_, k), "", {scripted_command.text}, false}));
       });
     for (const auto& kill : day_.kills)
       for (std::size_t k = 1; k <= coordinators_.size(); ++k)
@@ -194,16 +195,16 @@
 
   const Day& day_;
   std::string file_, folder_;
-  standins::Places places_;
+  standins::AddressPlan places_;
   bool fixed_, show_;
   std::optional<Child> stage_;
   std::vector<std::unique_ptr<Child>> coordinators_;
   std::size_t struck_ = 0;
 };
 
-void print_counts(const std::string& head, const Count& ours, const Count* theirs) {
+void print_counts(const std::string& head, const ServiceCounts& ours, const ServiceCounts* theirs) {
   std::string line = fmt::format("  {:<16} {:>6} {:>8.3f} {:>6} {:>8} {:>8} {:>8}", head, ours.invocations,
-                                 ours.service(), ours.late, ours.errored, ours.limited, ours.no_line);
+                                 ours.service(), ours.late, ours.errored, ours.rate_limited, ours.no_line);
   if (theirs != nullptr)
     line += fmt::format("   {:>8.3f} {:>+8.3f}", theirs->service(), ours.service() - theirs->service());
   std::printf("%s\n", line.c_str());
@@ -215,13 +216,13 @@
                                     v.kept ? "kept" : "BROKEN", v.worst, v.limit, v.unit, v.detail)
                             .c_str());
   for (const auto& [what, r] :
-       {std::pair{"a worker's crash to the first list without it", &a.crash_to_answer},
-        {"a worker's crash to the last list with it", &a.crash_to_last},
-        {"a forwarder's losing its leader to the next", &a.unled},
+       {std::pair{"a worker's crash to the first list without it", &a.crash_to_first_removal},
+        {"a worker's crash to the last list with it", &a.crash_to_last_listing},
+        {"a forwarder's losing its leader to the next", &a.leaderless_times},
         {"a table's leaving the channel to in force", &a.in_force},
-        {"a drain to the last invocation sent there", &a.drain_to_last}})
+        {"a drain to the last invocation sent there", &a.drain_to_last_send}})
     if (!r->seconds.empty())
-      std::printf("  from %-46s %7.3f s in the middle, %7.3f s at worst, of %zu\n", what, r->middle(),
+      std::printf("  from %-46s %7.3f s in the middle, %7.3f s at worst, of %zu\n", what, r->median(),
                   r->worst(), r->seconds.size());
   if (a.cuts > 0) std::printf("  orders were cut at %zu seeded byte offsets\n", a.cuts);
   if (a.disobedient_refused > 0)
@@ -238,7 +239,7 @@
       fixed != nullptr ? "      fixed  differs" : "");
   print_counts("whole day", ours.whole, fixed != nullptr ? &fixed->whole : nullptr);
   for (const auto& [name, c] : ours.by_operation) {
-    const Count* theirs = nullptr;
+    const ServiceCounts* theirs = nullptr;
     if (fixed != nullptr)
       if (const auto it = fixed->by_operation.find(name); it != fixed->by_operation.end())
         theirs = &it->second;
@@ -271,12 +272,12 @@
   const Instant begin = net::monotonic_now() + kPrelude;
   std::vector<std::unique_ptr<Fleet>> fleets;
   fleets.push_back(std::make_unique<Fleet>(day, options.day, folder + "/module",
-                                           standins::Places{options.octet}, changes, day.unsafe.fixed_weights,
-                                           !options.quiet));
+                                           standins::AddressPlan{options.octet}, changes,
+                                           day.unsafe.fixed_weights, !options.quiet));
   if (options.baseline)
     fleets.push_back(std::make_unique<Fleet>(day, options.day, folder + "/fixed",
-                                             standins::Places{options.octet + kFleetOctets}, changes, true,
-                                             false));
+                                             standins::AddressPlan{options.octet + kFleetOctets}, changes,
+                                             true, false));
   for (auto& fleet : fleets) fleet->start(loop, begin);
   bool interrupted = false;
   for (const int signal : {SIGINT, SIGTERM}) loop.on_signal(signal, [&] { interrupted = true, loop.stop(); });
--- a/src/lab/replay/fit.cpp
+++ b/src/lab/replay/fit.cpp
@@ -57,11 +57,11 @@
   std::map<std::string, BackendId> ids;
   std::uint32_t next_id = 1;
   std::map<std::int64_t, double> taken;  // by second
-  std::vector<script::Trouble> troubles;
+  std::vector<script::InjectedFault> troubles;
   std::optional<std::int64_t> first, last_t;
   std::size_t unread = 0;
-  const auto trouble = [&](script::TroubleKind kind, const Worker& w, Instant from, Instant to) {
-    script::Trouble t;
+  const auto trouble = [&](script::InjectedFaultKind kind, const Worker& w, Instant from, Instant to) {
+    script::InjectedFault t;
     t.name = "recorded", t.kind = kind, t.zone = core.zones[w.zone], t.count = 1;
     t.at = from - Instant{} - Span::micros(*first), t.lasts = to - from;
     troubles.push_back(t);
@@ -110,9 +110,10 @@
         if (health->health == coordinator::Health::refused && !w.down) w.down = now;
         if (health->health == coordinator::Health::failed && !w.hung && !w.down) w.hung = now;
         if (health->health == coordinator::Health::passed) {
-          if (w.down) trouble(script::TroubleKind::crash, w, *w.down, now);
+          if (w.down) trouble(script::InjectedFaultKind::crash, w, *w.down, now);
           // One lost call is no trouble; a second of them is.
-          if (w.hung && now - *w.hung > Span::seconds(1)) trouble(script::TroubleKind::hang, w, *w.hung, now);
+          if (w.hung && now - *w.hung > Span::seconds(1))
+            trouble(script::InjectedFaultKind::hang, w, *w.hung, now);
           w.down.reset(), w.hung.reset();
         }
       }
@@ -122,9 +123,9 @@
     throw std::runtime_error{"the recording has neither a day's script nor what was heard of workers"};
   const Instant end = Instant{} + Span::micros(*last_t);
   for (auto& [id, w] : workers) {
-    if (w.down) trouble(script::TroubleKind::crash, w, *w.down, end);
+    if (w.down) trouble(script::InjectedFaultKind::crash, w, *w.down, end);
     if (w.hung && end - *w.hung > Span::seconds(1)) {
-      trouble(script::TroubleKind::hang, w, *w.hung, end);
+      trouble(script::InjectedFaultKind::hang, w, *w.hung, end);
       f.unknown.push_back(
           w.name +
           " took invocations and answered none: their work is unknown, the operation's own is assumed");
--- a/src/lab/world/worker_model.cpp
+++ b/src/lab/world/worker_model.cpp
@@ -4,7 +4,7 @@
 
 namespace gorsemount::lab {
 
-using script::TroubleKind;
+using script::InjectedFaultKind;
 
 namespace {
 
@@ -31,7 +31,7 @@
   return lost;
 }
 
-void WorkerModel::trouble(Instant now, TroubleKind kind, double size) {
+void WorkerModel::trouble(Instant now, InjectedFaultKind kind, double size) {
   if (!up_) return;
   advance(now);
   trouble_ = kind, trouble_size_ = size, struck_at_ = now;
@@ -43,11 +43,11 @@
   const auto was = *trouble_;
   advance(now);
   trouble_.reset();
-  if (was == TroubleKind::silent || was == TroubleKind::hang) {
+  if (was == InjectedFaultKind::silent || was == InjectedFaultKind::hang) {
     for (const auto& [v, job] : running_) lost.push_back(job);
     lost.insert(lost.end(), queue_.begin(), queue_.end());
     running_.clear(), queue_.clear(), queued_ = 0;
-    if (was == TroubleKind::silent) start(now, true);
+    if (was == InjectedFaultKind::silent) start(now, true);
   }
   return lost;
 }
@@ -62,7 +62,7 @@
   if (n <= 0 || stuck()) return 0;
   double r =
       k_.speed * warmth(now) * std::min(1.0, k_.cores / n) / (1 + k_.loss * std::max(0.0, n / k_.cores - 1));
-  if (trouble_ == TroubleKind::slow) r /= std::max(1e-3, trouble_size_);
+  if (trouble_ == InjectedFaultKind::slow) r /= std::max(1e-3, trouble_size_);
   return r;
 }
 
@@ -103,17 +103,18 @@
 std::optional<double> WorkerModel::health(Instant now) {
   if (!up_ || stuck()) return {};
   advance(now);
-  const double able =
-      k_.cores * k_.speed * warmth(now) / (trouble_ == TroubleKind::slow ? std::max(1e-3, trouble_size_) : 1);
+  const double able = k_.cores * k_.speed * warmth(now) /
+                      (trouble_ == InjectedFaultKind::slow ? std::max(1e-3, trouble_size_) : 1);
   const bool full = running_.size() >= static_cast<std::size_t>(k_.slots);
   return 0.002 / (k_.speed * warmth(now)) + (full ? queued_ / able : 0);
 }
 
 double WorkerModel::able(Instant now) const {
-  if (!up_ || stuck() || trouble_ == TroubleKind::refuse || trouble_ == TroubleKind::drain) return 0;
+  if (!up_ || stuck() || trouble_ == InjectedFaultKind::refuse || trouble_ == InjectedFaultKind::drain)
+    return 0;
   double able = k_.cores * k_.speed * warmth(now);
-  if (trouble_ == TroubleKind::slow) able /= std::max(1e-3, trouble_size_);
-  if (trouble_ == TroubleKind::errors) able *= 1 - trouble_size_;
+  if (trouble_ == InjectedFaultKind::slow) able /= std::max(1e-3, trouble_size_);
+  if (trouble_ == InjectedFaultKind::errors) able *= 1 - trouble_size_;
   return able;
 }
 
@@ -122,7 +123,7 @@
   coordinator::LoadSample s;
   s.boot = name_ + "-" + std::to_string(boots_);
   s.uptime = (now - started_).seconds() + (warm_at_ == started_ ? 1e6 : 0);
-  s.draining = trouble_ == TroubleKind::drain;
+  s.draining = trouble_ == InjectedFaultKind::drain;
   const auto& [from, was] = busy_log_.front();
   const double over = (now - from).seconds();
   s.util = std::min(
--- a/src/lab/world/worker_model.hpp
+++ b/src/lab/world/worker_model.hpp
@@ -48,27 +48,27 @@
   void start(Instant now, bool cold);
   // What was inside is lost with the connections; returns it.
   std::vector<Job> crash(Instant now);
-  void trouble(Instant now, script::TroubleKind kind, double size);
+  void trouble(Instant now, script::InjectedFaultKind kind, double size);
   std::vector<Job> recover(Instant now);  // what hung is lost
   [[nodiscard]] bool up() const { return up_; }
   [[nodiscard]] bool well() const { return up_ && !trouble_; }
-  [[nodiscard]] std::optional<script::TroubleKind> struck() const { return trouble_; }
+  [[nodiscard]] std::optional<script::InjectedFaultKind> struck() const { return trouble_; }
   [[nodiscard]] double trouble_size() const { return trouble_size_; }
 
   enum class Taken { taken, refused, errored, swallowed };
   // `left`: whether a job's caller is still there. `began` gets those that begin.
   template <class There>
   Taken offer(Instant now, Job job, std::mt19937& chance, There there, std::vector<Job>& began) {
-    if (trouble_ == script::TroubleKind::silent) return Taken::swallowed;
+    if (trouble_ == script::InjectedFaultKind::silent) return Taken::swallowed;
     Counts& c = count(job);
-    const bool drained = trouble_ == script::TroubleKind::drain && now - struck_at_ > k_.drain_grace;
-    if (drained || trouble_ == script::TroubleKind::refuse ||
+    const bool drained = trouble_ == script::InjectedFaultKind::drain && now - struck_at_ > k_.drain_grace;
+    if (drained || trouble_ == script::InjectedFaultKind::refuse ||
         queue_.size() >= static_cast<std::size_t>(k_.queue_most)) {
       ++c.refused;
       return Taken::refused;
     }
     ++c.taken;
-    if (trouble_ == script::TroubleKind::errors &&
+    if (trouble_ == script::InjectedFaultKind::errors &&
         std::uniform_real_distribution<>{}(chance) < trouble_size_) {
       ++c.errored;
       return Taken::errored;
@@ -118,7 +118,7 @@
   };
   Counts& count(const Job& job) { return counts_[job.source * operations_ + job.operation]; }
   [[nodiscard]] bool stuck() const {
-    return trouble_ == script::TroubleKind::hang || trouble_ == script::TroubleKind::silent;
+    return trouble_ == script::InjectedFaultKind::hang || trouble_ == script::InjectedFaultKind::silent;
   }
   [[nodiscard]] double rate(Instant now) const;  // of work for each running one
   void advance(Instant now);
@@ -143,7 +143,7 @@
   WorkerKind k_;
   std::vector<Prefix> sources_;
   bool up_ = false, fallen_ = false;
-  std::optional<script::TroubleKind> trouble_;
+  std::optional<script::InjectedFaultKind> trouble_;
   double trouble_size_ = 1;
   Instant started_, warm_at_, struck_at_, at_;
   int boots_ = 0;
--- a/src/lab/world/world.cpp
+++ b/src/lab/world/world.cpp
@@ -22,8 +22,8 @@
 using coordinator::Coordinator;
 using coordinator::Input;
 using script::Day;
-using script::Trouble;
-using script::TroubleKind;
+using script::InjectedFault;
+using script::InjectedFaultKind;
 
 namespace {
 
@@ -128,7 +128,7 @@
   int again = 0;  // further tries since the last report
   int retries = -1;
   limits::RetryLimiter meter;
-  std::optional<TroubleKind> fault;
+  std::optional<InjectedFaultKind> fault;
   std::optional<Instant> unled_since;
   bool was_led = false;
   std::vector<std::optional<Instant>> bare;
@@ -237,7 +237,7 @@
   void build() {
     now = begin - kPrelude;
     const std::size_t zones = day.zones.size(), ops = day.operations.size();
-    const script::Places places;
+    const script::AddressPlan places;
     for (std::size_t z = 0; z < zones; ++z) sources.push_back({masked(places.clients_of(z).address, 16), 16});
     fronts = script::forwarders_of(day, places);
     // All forwarders stand behind one source: their counts are theirs to tell, and only sums of them matter.
@@ -304,8 +304,8 @@
       at(begin + day.kills[k].at, What::kill, static_cast<std::uint32_t>(k));
     for (std::size_t k = 0; k < day.phases.size(); ++k)
       at(begin + day.phases[k].at, What::phase, static_cast<std::uint32_t>(k));
-    for (std::size_t k = 0; k < day.persons.size(); ++k)
-      at(begin + day.persons[k].at, What::person, static_cast<std::uint32_t>(k));
+    for (std::size_t k = 0; k < day.operator_commands.size(); ++k)
+      at(begin + day.operator_commands[k].at, What::person, static_cast<std::uint32_t>(k));
     after(Span::seconds(1), What::second);
     after(Span::seconds(0.1), What::watch);
     if (day.churn > Span{}) after(day.churn, What::churn);
@@ -469,7 +469,7 @@
       const bool cut = is_cut(h.zone, workers[w].kind().zone);
       if (!workers[w].up()) {
         give(h, coordinator::LoadPollFailed{*h.ids[w], cut ? "timeout" : "refused"});
-      } else if (cut || workers[w].struck() == TroubleKind::silent) {
+      } else if (cut || workers[w].struck() == InjectedFaultKind::silent) {
         give(h, coordinator::LoadPollFailed{*h.ids[w], "timeout"});
       } else {
         // What is slow to tell, tells of the past.
@@ -576,7 +576,7 @@
     if (node.empty()) return;
     const Batch& b = node.mapped();
     Proxy& p = proxies[b.proxy];
-    if (p.fault == TroubleKind::forwarder_refuse) return;
+    if (p.fault == InjectedFaultKind::forwarder_refuse) return;
     if (b.term) {
       if (*b.term < p.highest && s.fences) {
         ++out.terms_refused;
@@ -1112,9 +1112,9 @@
   }
 
   void strike(std::uint32_t k) {
-    const Trouble& t = day.troubles[k];
+    const InjectedFault& t = day.troubles[k];
     struck[k].clear();
-    using enum TroubleKind;
+    using enum InjectedFaultKind;
     switch (t.kind) {
       case stale_list:
         stale = true;
@@ -1171,7 +1171,7 @@
         struck[k].push_back(w);
       }
       for (const auto w : struck[k]) {
-        if (t.kind == TroubleKind::crash) {
+        if (t.kind == InjectedFaultKind::crash) {
           this->crash(w);
         } else if (t.kind == late_reports) {
           late_load[w] = Span::seconds(t.size);
@@ -1196,15 +1196,15 @@
     told_draining[w] = on ? std::optional{now} : std::nullopt;
   }
   void over(std::uint32_t k) {
-    const Trouble& t = day.troubles[k];
-    using enum TroubleKind;
+    const InjectedFault& t = day.troubles[k];
+    using enum InjectedFaultKind;
     if (t.kind == stale_list) stale = false, tell_roster();
     if (t.kind == cut_link) cut_zones.clear();
     if (t.kind == slow_link) slow_zones.clear();
     for (const auto w : struck[k]) {
       if (t.kind >= forwarder_restart && t.kind <= streams) {
         proxies[w].fault.reset();
-      } else if (t.kind == TroubleKind::crash) {
+      } else if (t.kind == InjectedFaultKind::crash) {
         workers[w].start(now, true);
       } else if (t.kind == late_reports) {
         late_load[w] = {};
@@ -1452,7 +1452,7 @@
         return watch();
       case What::person:
         for (auto& one : hosts)
-          if (one.up) give(one, day.persons[e.a].order);
+          if (one.up) give(one, day.operator_commands[e.a].command);
         return;
       case What::write_down: {
         if (h->life != e.b) return;
@@ -1490,7 +1490,7 @@
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events;
   std::uint64_t order = 0;
   std::vector<Prefix> sources;
-  std::vector<script::ForwarderPlace> fronts;
+  std::vector<script::ForwarderInstance> fronts;
   std::vector<script::RosterLine> roster, usual;
   std::vector<WorkerModel> workers;
   std::map<std::string, std::uint32_t> place;
--- a/src/script/day.cpp
+++ b/src/script/day.cpp
@@ -8,16 +8,17 @@
 
 namespace {
 
-// A day, and an hour for one on which clocks go back.
-const Span kLongest = Span::seconds(25 * 3600);
+// A day with the extra hour when daylight saving time ends.
+const Span kMaxDuration = Span::seconds(25 * 3600);
 
-Span some(config::Section& in, const char* name, std::optional<double> otherwise) {
-  return in.span(name, otherwise ? std::optional{Span::seconds(*otherwise)} : std::nullopt, Span{}, kLongest);
+Span read_span(config::Section& in, const char* name, std::optional<double> fallback) {
+  return in.span(name, fallback ? std::optional{Span::seconds(*fallback)} : std::nullopt, Span{},
+                 kMaxDuration);
 }
 
-constexpr unsigned kAddresses = 250;  // of one zone, before the next port begins
+constexpr unsigned kAddressesPerPort = 250;  // of one zone; further workers use the next port
 
-config::Section section_of(const hcl::Block& b, const config::Section& root) {
+config::Section make_section(const hcl::Block& b, const config::Section& root) {
   return {b.body, b.at, b.labels.empty() ? b.type : b.type + "." + b.labels[0].first, *root.findings()};
 }
 
@@ -28,43 +29,43 @@
   return address;
 }
 
-std::string zone_in_day(config::Section& in, const Day& day) {
+std::string read_zone_name(config::Section& in, const Day& day) {
   return day.zones[in.word("zone", day.zones, std::nullopt)];
 }
 
 void read_fleet(config::Section& root, Day& day) {
-  const auto zone_in = [&](config::Section& in) { return zone_in_day(in, day); };
+  const auto read_zone = [&](config::Section& in) { return read_zone_name(in, day); };
   for (const auto* b : root.blocks("operation", 1)) {
-    config::Section in = section_of(*b, root);
-    DayOperation op;
-    op.name = b->labels[0].first;
+    config::Section in = make_section(*b, root);
+    DayOperation operation;
+    operation.name = b->labels[0].first;
     const std::vector<std::string> effects{"idempotent", "fingerprinted", "side-effecting"};
-    op.effect = effects[in.word("effect", effects, std::nullopt)];
-    op.share = in.number("share", 1, {0, 1e6});
-    op.work = some(in, "work", std::nullopt);
-    op.latency_objective = some(in, "latency_objective", std::nullopt);
-    op.integration_timeout = some(in, "integration_timeout", std::nullopt);
-    op.billed_value = in.number("billed_value", 1, {0, 1e6});
+    operation.effect = effects[in.word("effect", effects, std::nullopt)];
+    operation.share = in.number("share", 1, {0, 1e6});
+    operation.work = read_span(in, "work", std::nullopt);
+    operation.latency_objective = read_span(in, "latency_objective", std::nullopt);
+    operation.integration_timeout = read_span(in, "integration_timeout", std::nullopt);
+    operation.billed_value = in.number("billed_value", 1, {0, 1e6});
     in.done();
-    day.operations.push_back(op);
+    day.operations.push_back(operation);
   }
   for (const auto* b : root.blocks("workers", 1)) {
-    config::Section in = section_of(*b, root);
+    config::Section in = make_section(*b, root);
     DayWorkers w;
-    w.zone = zone_in(in);
+    w.zone = read_zone(in);
     w.count = static_cast<int>(in.number("count", std::nullopt, {1, 2500, true}));
     w.cores = in.number("cores", 2, {1, 256, true}), w.speed = in.number("speed", 1, {0.01, 100});
     w.slots = static_cast<int>(in.number("slots", 0, {0, 100000, true}));
-    w.connect_cost = some(in, "connect_cost", 0), w.loss = in.number("loss", 0, {0, 10}),
+    w.connect_cost = read_span(in, "connect_cost", 0), w.loss = in.number("loss", 0, {0, 10}),
     w.cancels = in.flag("cancels", true);
     w.queue_most = static_cast<int>(in.number("queue_most", 64, {0, 100000, true}));
     in.done();
     day.workers.push_back(w);
   }
   for (const auto* b : root.blocks("clients", 1)) {
-    config::Section in = section_of(*b, root);
+    config::Section in = make_section(*b, root);
     DayClients c;
-    c.zone = zone_in(in);
+    c.zone = read_zone(in);
     c.count = static_cast<int>(in.number("count", std::nullopt, {1, 250, true}));
     c.rate = in.number("rate", 1, {0, 1000}, "invocations/s"),
     c.by_address = in.number("by_address", 0, {0, 1});
@@ -73,9 +74,9 @@
     day.clients.push_back(c);
   }
   for (const auto* b : root.blocks("forwarders", 1)) {
-    config::Section in = section_of(*b, root);
+    config::Section in = make_section(*b, root);
     DayForwarders f;
-    f.zone = zone_in(in);
+    f.zone = read_zone(in);
     f.count = static_cast<int>(in.number("count", std::nullopt, {1, 250, true}));
     f.clients = static_cast<int>(in.number("clients", 0, {0, 250, true}));
     f.rate = in.number("rate", 1, {0, 1000}, "invocations/s"), f.two_choice = in.flag("two_choice", false);
@@ -83,18 +84,18 @@
     day.forwarders.push_back(f);
   }
   for (const auto* b : root.blocks("coordinator", 1)) {
-    config::Section in = section_of(*b, root);
-    day.coordinators.push_back(zone_in(in));
+    config::Section in = make_section(*b, root);
+    day.coordinators.push_back(read_zone(in));
     in.done();
   }
 }
 
-void read_script(config::Section& root, Day& day) {
+void read_events(config::Section& root, Day& day) {
   for (const auto* b : root.blocks("phase", 1)) {
-    config::Section in = section_of(*b, root);
-    Phase p{b->labels[0].first, some(in, "at", std::nullopt), in.number("rate", 1, {0, 100})};
+    config::Section in = make_section(*b, root);
+    Phase p{b->labels[0].first, read_span(in, "at", std::nullopt), in.number("rate", 1, {0, 100})};
     if (!day.phases.empty() && p.at <= day.phases.back().at)
-      in.fault(in.place("at"), "phases are to stand in the order of time");
+      in.fault(in.place("at"), "phases must be in chronological order");
     in.done();
     day.phases.push_back(p);
   }
@@ -118,24 +119,24 @@
                                        "ageing",
                                        "false_reports"};
   for (const auto* b : root.blocks("trouble", 1)) {
-    config::Section in = section_of(*b, root);
-    Trouble t;
+    config::Section in = make_section(*b, root);
+    InjectedFault t;
     t.name = b->labels[0].first;
-    t.kind = static_cast<TroubleKind>(in.word("kind", kinds, std::nullopt));
+    t.kind = static_cast<InjectedFaultKind>(in.word("kind", kinds, std::nullopt));
     std::vector<std::string> zones = day.zones;
     zones.emplace_back("");
     t.zone = zones[in.word("zone", zones, zones.size() - 1)];
-    t.at = some(in, "at", std::nullopt), t.lasts = some(in, "lasts", std::nullopt);
+    t.at = read_span(in, "at", std::nullopt), t.lasts = read_span(in, "lasts", std::nullopt);
     t.count = static_cast<int>(in.number("count", 0, {0, 2500, true}));
     if (std::string to = in.text("to", ""); !to.empty()) {
       if (std::find(day.zones.begin(), day.zones.end(), to) == day.zones.end())
         in.fault(in.place("to"),
-                 fmt::format("no zone is called \"{}\"; known here: {}", to, fmt::join(day.zones, ", ")));
+                 fmt::format("unknown zone \"{}\"; known zones: {}", to, fmt::join(day.zones, ", ")));
       t.to = std::move(to);
     }
     t.one_way = in.flag("one_way", false);
-    if ((t.kind == TroubleKind::cut_link || t.kind == TroubleKind::slow_link) && t.zone.empty())
-      in.fault(in.at(), "a link's trouble needs a 'zone'");
+    if ((t.kind == InjectedFaultKind::cut_link || t.kind == InjectedFaultKind::slow_link) && t.zone.empty())
+      in.fault(in.at(), "a fault of a link needs a 'zone'");
     t.part = in.number("part", 1, {0, 1}), t.size = in.number("size", 1, {0, 1000});
     in.done();
     day.troubles.push_back(t);
@@ -143,37 +144,38 @@
   std::vector<std::string> names;
   for (std::size_t k = 0; k < day.coordinators.size(); ++k) names.push_back("pwani-" + std::to_string(k + 1));
   for (const auto* b : root.blocks("kill", 1)) {
-    config::Section in = section_of(*b, root);
+    config::Section in = make_section(*b, root);
     if (names.empty()) break;
     if (std::find(names.begin(), names.end(), b->labels[0].first) == names.end())
-      in.fault(b->labels[0].second, fmt::format("no coordinator is called \"{}\"; known here: {}",
+      in.fault(b->labels[0].second, fmt::format("unknown coordinator \"{}\"; known coordinators: {}",
                                                 b->labels[0].first, fmt::join(names, ", ")));
-    Kill kill{b->labels[0].first, some(in, "at", std::nullopt), some(in, "lasts", std::nullopt),
-              in.flag("pause", false), in.flag("planned", false)};
+    CoordinatorOutage outage{b->labels[0].first, read_span(in, "at", std::nullopt),
+                             read_span(in, "lasts", std::nullopt), in.flag("pause", false),
+                             in.flag("planned", false)};
     const auto times = static_cast<int>(in.number("times", 1, {1, 1000, true}));
-    const Span every = some(in, "every", 0);
-    if (times > 1 && every <= kill.lasts)
-      in.fault(in.place("times"), "several times need an 'every' above 'lasts'");
-    for (int k = 0; k < times; ++k) day.kills.push_back(kill), kill.at = kill.at + every;
+    const Span every = read_span(in, "every", 0);
+    if (times > 1 && every <= outage.lasts)
+      in.fault(in.place("times"), "'times' above 1 needs an 'every' above 'lasts'");
+    for (int k = 0; k < times; ++k) day.kills.push_back(outage), outage.at = outage.at + every;
     in.done();
   }
   for (const auto* b : root.blocks("person", 1)) {
     using Action = coordinator::OperatorCommand::Action;
-    config::Section in = section_of(*b, root);
+    config::Section in = make_section(*b, root);
     const std::vector<std::string> orders{"drain zone", "undrain zone", "hold", "release"};
-    constexpr Action what[] = {Action::drain_zone, Action::undrain_zone, Action::hold, Action::release};
+    constexpr Action actions[] = {Action::drain_zone, Action::undrain_zone, Action::hold, Action::release};
     const std::size_t k = in.word("order", orders, std::nullopt);
-    Person person;
-    if (k < 2) person.order.name = zone_in_day(in, day);
-    person.order.action = what[k], person.at = some(in, "at", std::nullopt);
-    person.words = orders[k] + (k < 2 ? " " + person.order.name : "");
+    ScriptedCommand scripted_command;
+    if (k < 2) scripted_command.command.name = read_zone_name(in, day);
+    scripted_command.command.action = actions[k], scripted_command.at = read_span(in, "at", std::nullopt);
+    scripted_command.text = orders[k] + (k < 2 ? " " + scripted_command.command.name : "");
     in.done();
-    day.persons.push_back(std::move(person));
+    day.operator_commands.push_back(std::move(scripted_command));
   }
   config::Section cuts = root.only("cuts");
   day.cuts.count = static_cast<int>(cuts.number("count", 0, {0, 1000, true}));
-  day.cuts.first = some(cuts, "first", 2), day.cuts.every = some(cuts, "every", 1),
-  day.cuts.lasts = some(cuts, "lasts", 0.4);
+  day.cuts.first = read_span(cuts, "first", 2), day.cuts.every = read_span(cuts, "every", 1),
+  day.cuts.lasts = read_span(cuts, "lasts", 0.4);
   day.cuts.bytes_most = static_cast<int>(cuts.number("bytes_most", 500, {1, 1e6, true}, "bytes"));
   day.cuts.pause = cuts.flag("pause", false);
   if (day.cuts.count > 0 && (day.forwarders.empty() || !day.shared || day.cuts.every <= day.cuts.lasts))
@@ -190,7 +192,7 @@
   if (!findings.faults.empty()) return day;
   config::Section root{body, {1, 1}, "", findings};
   for (const auto* b : root.blocks("zone", 1)) {
-    config::Section zone = section_of(*b, root);
+    config::Section zone = make_section(*b, root);
     day.zones.push_back(b->labels[0].first);
     for (const auto& [name, at] : zone.texts("near")) day.near[day.zones.back()].push_back(name);
     zone.done();
@@ -199,31 +201,31 @@
     root.fault(root.at(), "expected 1 to 8 zones");
     return day;
   }
-  config::Section in = root.only("day");
-  day.name = in.text("name", "day"), day.origin = in.text("origin", "refill.pwani.test");
-  day.seed = static_cast<std::uint64_t>(in.number("seed", 1, {0, 1e15, true}));
-  day.length = in.span("length", std::nullopt, Span::seconds(1), kLongest);
-  day.settle = some(in, "settle", 3);
-  day.shared = in.flag("shared", false);
-  day.lease = some(in, "lease", 1);
-  day.record = in.flag("record", false), day.keeps = in.flag("keeps", false);
-  day.churn = some(in, "churn", 0);
-  in.done();
+  config::Section section = root.only("day");
+  day.name = section.text("name", "day"), day.origin = section.text("origin", "refill.pwani.test");
+  day.seed = static_cast<std::uint64_t>(section.number("seed", 1, {0, 1e15, true}));
+  day.length = section.span("length", std::nullopt, Span::seconds(1), kMaxDuration);
+  day.settle = read_span(section, "settle", 3);
+  day.shared = section.flag("shared", false);
+  day.lease = read_span(section, "lease", 1);
+  day.record = section.flag("record", false), day.keeps = section.flag("keeps", false);
+  day.churn = read_span(section, "churn", 0);
+  section.done();
   config::Section rules = root.only("rules");
-  day.drain_grace = some(rules, "drain_grace", 5), day.unserved = some(rules, "unserved", 3);
-  day.cold_for = some(rules, "cold_for", 10), day.tip_after = some(rules, "tip_after", 2);
+  day.drain_grace = read_span(rules, "drain_grace", 5), day.unserved = read_span(rules, "unserved", 3);
+  day.cold_for = read_span(rules, "cold_for", 10), day.tip_after = read_span(rules, "tip_after", 2);
   day.cold_from = rules.number("cold_from", 0.2, {0.01, 1}),
   day.tip_multiple = rules.number("tip_multiple", 3, {1, 100});
   day.backlog = rules.number("backlog", 2000, {1, 1e9}, "lines");
   day.lines_per_second = rules.number("lines_per_second", 2000, {1, 1e9}, "lines/s");
   day.messages_most = static_cast<int>(rules.number("messages_most", 30, {0, 1e6, true}));
-  day.messages_window = some(rules, "messages_window", 10);
+  day.messages_window = read_span(rules, "messages_window", 10);
   day.levels = rules.flag("levels", false);
   day.spill = rules.flag("spill", false);
   day.fleet_rate = rules.number("fleet_rate", 0, {0, 1e9}, "invocations/s");
   rules.done();
   read_fleet(root, day);
-  read_script(root, day);
+  read_events(root, day);
   config::Section unsafe = root.only("unsafe");
   day.unsafe.repeat_all = unsafe.flag("repeat_all", false);
   day.unsafe.drain_untold = unsafe.flag("drain_untold", false);
@@ -239,22 +241,22 @@
   return day;
 }
 
-Endpoint Places::worker(std::size_t zone, std::size_t number) const {
+Endpoint AddressPlan::worker(std::size_t zone, std::size_t number) const {
   const auto n = static_cast<unsigned>(number - 1);
-  return {loopback(octet, static_cast<unsigned>(zone + 1), 1 + n % kAddresses),
-          static_cast<std::uint16_t>(9000 + n / kAddresses)};
+  return {loopback(octet, static_cast<unsigned>(zone + 1), 1 + n % kAddressesPerPort),
+          static_cast<std::uint16_t>(9000 + n / kAddressesPerPort)};
 }
-Address Places::client(std::size_t zone, std::size_t number) const {
+Address AddressPlan::client(std::size_t zone, std::size_t number) const {
   return loopback(octet + 1 + static_cast<unsigned>(zone), 0, static_cast<unsigned>(number));
 }
-Address Places::forwarder(std::size_t zone, std::size_t led_by, std::size_t number) const {
+Address AddressPlan::forwarder(std::size_t zone, std::size_t led_by, std::size_t number) const {
   return loopback(octet + 1 + static_cast<unsigned>(zone), static_cast<unsigned>(led_by),
                   static_cast<unsigned>(number));
 }
-Endpoint Places::coordinator(std::size_t number) const {
+Endpoint AddressPlan::coordinator(std::size_t number) const {
   return {loopback(octet, 0, static_cast<unsigned>(number)), 5300};
 }
-Prefix Places::clients_of(std::size_t zone) const {
+Prefix AddressPlan::clients_of(std::size_t zone) const {
   return {loopback(octet + 1 + static_cast<unsigned>(zone), 0, 0), 16};
 }
 
@@ -262,8 +264,8 @@
   return day.zones[zone] + "-" + std::to_string(number);
 }
 
-std::vector<ForwarderPlace> forwarders_of(const Day& day, const Places& places) {
-  std::vector<ForwarderPlace> all;
+std::vector<ForwarderInstance> forwarders_of(const Day& day, const AddressPlan& places) {
+  std::vector<ForwarderInstance> all;
   std::vector<std::size_t> numbers(day.zones.size(), 0);
   for (const auto& f : day.forwarders) {
     const auto zone =
@@ -277,7 +279,7 @@
   return all;
 }
 
-std::vector<RosterLine> roster_of(const Day& day, const Places& places) {
+std::vector<RosterLine> roster_of(const Day& day, const AddressPlan& places) {
   std::vector<RosterLine> lines;
   std::vector<std::size_t> numbers(day.zones.size(), 0);
   for (const auto& w : day.workers) {
@@ -300,7 +302,7 @@
   return text;
 }
 
-std::string coordinator_settings(const Day& day, const Places& places, std::size_t number,
+std::string coordinator_settings(const Day& day, const AddressPlan& places, std::size_t number,
                                  const std::string& folder) {
   const auto s = [](Span span) { return fmt::format("{}ms", span.micros() / 1000); };
   std::string text = fmt::format(
@@ -314,11 +316,12 @@
                                    : fmt::format("zone \"{}\" {{\n  near = [\"{}\"]\n}}\n", zone,
                                                  fmt::join(near->second, "\", \""));
   }
-  for (const auto& op : day.operations)
+  for (const auto& operation : day.operations)
     text += fmt::format(
         "operation \"{}\" {{\n  effect = \"{}\"\n  latency_objective = \"{}\"\n"
         "  integration_timeout = \"{}\"\n  billed_value = {}\n}}\n",
-        op.name, op.effect, s(op.latency_objective), s(op.integration_timeout), op.billed_value);
+        operation.name, operation.effect, s(operation.latency_objective), s(operation.integration_timeout),
+        operation.billed_value);
   text += fmt::format(
       "rules {{\n  unserved = \"{}\"\n  drain_grace = \"{}\"\n  cold_from = {}\n  cold_for = \"{}\"\n"
       "  tip_multiple = {}\n}}\n",
--- a/src/standins/auditor.hpp
+++ b/src/standins/auditor.hpp
@@ -1,5 +1,5 @@
-// Judges the rules from records alone: what stand-ins were sent and when, and the messages that coordinators
-// wrote. It never asks a coordinator.
+// Checks the rules from the records alone: the requests that stand-ins received, with their times, and the
+// messages that coordinators wrote. It never queries a coordinator.
 #pragma once
 
 #include <map>
@@ -17,30 +17,33 @@
   double worst = 0, limit = 0;  // in `unit`; kept while worst <= limit
   std::string unit, detail;
 };
-struct Count {
-  double asked = 0, in_time = 0;  // billed value
-  std::uint64_t invocations = 0, late = 0, errored = 0, limited = 0, no_line = 0;
-  [[nodiscard]] double service() const { return asked > 0 ? in_time / asked : 1; }
+struct ServiceCounts {
+  double offered_value = 0, value_in_time = 0;  // billed value
+  std::uint64_t invocations = 0, late = 0, errored = 0, rate_limited = 0, no_line = 0;
+  [[nodiscard]] double service() const { return offered_value > 0 ? value_in_time / offered_value : 1; }
 };
-// How long something took to show, s: by the middle one and the slowest.
-struct Reaction {
+// Times from a cause to its visible effect, s.
+struct ReactionTimes {
   std::vector<double> seconds;
-  [[nodiscard]] double middle() const;
+  [[nodiscard]] double median() const;
   [[nodiscard]] double worst() const;
 };
 struct Audit {
-  Reaction crash_to_answer;  // from a worker's crash to the first list without it that a client got
-  Reaction crash_to_last;    // and to the last list with it, before it came back
-  Reaction unled;            // forwarders: from a stream's end to the next one's beginning
-  std::size_t cuts = 0;      // orders that were cut at a byte
-  Reaction in_force;         // from the handing over of a table to the forwarder's last answer
-  Reaction drain_to_last;  // from the telling of a drain to the last invocation that an obedient client sent
+  // From a worker's crash to the first DNS answer without it that a client received.
+  ReactionTimes crash_to_first_removal;
+  // From a worker's crash to the last DNS answer that still listed it, before its restart.
+  ReactionTimes crash_to_last_listing;
+  ReactionTimes leaderless_times;  // of forwarders, from the end of one stream to the start of the next
+  std::size_t cuts = 0;            // command batches cut off at a byte offset
+  ReactionTimes in_force;          // from sending a table to the forwarder's last response
+  // From the roster's announcement of a drain to the last invocation sent there by a compliant client.
+  ReactionTimes drain_to_last_send;
   std::vector<Verdict> verdicts;
-  Count whole;
-  std::map<std::string, Count> by_operation;
-  std::vector<std::pair<std::string, Count>> by_phase;
-  std::uint64_t disobedient_refused =
-      0;  // sent by clients that disobey to a worker that drains, refused there
+  ServiceCounts whole;
+  std::map<std::string, ServiceCounts> by_operation;
+  std::vector<std::pair<std::string, ServiceCounts>> by_phase;
+  // Invocations of clients that ignore TTLs, rejected by a draining worker.
+  std::uint64_t disobedient_refused = 0;
   [[nodiscard]] bool kept() const;
 };
 [[nodiscard]] Audit audit(const Day& day, const std::vector<Record>& records);
--- a/src/standins/forwarder.cpp
+++ b/src/standins/forwarder.cpp
@@ -10,13 +10,14 @@
 
 namespace {
 
-constexpr int kFailures = 4;  // in a row, of its own tries, before it keeps away
-const Span kAway = Span::seconds(3);
-const Span kStill = Span::seconds(40e-6);  // for each line that it reads
+constexpr int kMaxConsecutiveFailures = 4;  // consecutive failed tries before it avoids a worker
+const Span kAvoidTime = Span::seconds(3);
+const Span kCommandPause =
+    Span::seconds(40e-6);  // pause of forwarding for each command that changes a server
 
 }  // namespace
 
-struct Forwarder::Peer {
+struct Forwarder::ClientConnection {
   std::shared_ptr<net::Connection> connection;
   net::HttpReader<net::Request> reader;
 };
@@ -25,7 +26,7 @@
   std::weak_ptr<net::Connection> connection;
   std::size_t operation = 0;
   std::string id;
-  Instant came;
+  Instant arrived_at;
   int tries = 0;
   std::vector<std::string> tried;
 };
@@ -34,7 +35,7 @@
     : loop_{loop},
       recorder_{recorder},
       s_{std::move(settings)},
-      chance_{static_cast<std::uint32_t>(seed)},
+      random_{static_cast<std::uint32_t>(seed)},
       runtime_{loop,
                [this](std::uint64_t peer, const std::string& text, const std::string&) {
                  return command(peer, text);
@@ -42,7 +43,7 @@
                {}} {
   runtime_.on_gone([this](std::uint64_t peer) {
     terms_.erase(peer), leaders_.erase(peer);
-    if (led_by_.erase(peer) > 0) recorder_.write(loop_.now(), "left", {{"forwarder", s_.name}});
+    if (leader_streams_.erase(peer) > 0) recorder_.write(loop_.now(), "left", {{"forwarder", s_.name}});
   });
   configure();
   listen();
@@ -53,10 +54,12 @@
 
 void Forwarder::configure() {
   started_ = loop_.now();
-  highest_ = 0;  // as a plain process's variables
-  lines_.clear(), values_.clear(), arrived_.clear(), further_.clear(), tokens_.clear(), meter_ = {};
-  for (const auto& op : s_.operations)
-    for (const auto& line : s_.first) lines_[{op.name, line.name}].held = {line.at, 100, State::ready};
+  highest_term_ = 0;  // process variables are lost on a restart
+  lines_.clear(), variables_.clear(), arrived_.clear(), retries_.clear(), tokens_.clear(),
+      retry_limiter_ = {};
+  for (const auto& operation : s_.operations)
+    for (const auto& line : s_.initial_servers)
+      lines_[{operation.name, line.name}].held = {line.at, 100, State::ready};
 }
 
 void Forwarder::restart() {
@@ -69,19 +72,19 @@
 void Forwarder::break_streams() { runtime_.drop_all(); }
 
 void Forwarder::cut_after(std::size_t bytes, std::function<void(const std::string&)> then) {
-  cut_bytes_ = bytes, cut_ = std::move(then);
+  cut_after_bytes_ = bytes, cut_callback_ = std::move(then);
 }
 
-void Forwarder::fault(std::optional<TroubleKind> kind) {
-  const bool slow = kind == TroubleKind::forwarder_slow;
-  if ((fault_ == TroubleKind::forwarder_slow) != slow) runtime_.hold(slow);
+void Forwarder::inject_fault(std::optional<InjectedFaultKind> kind) {
+  const bool slow = kind == InjectedFaultKind::forwarder_slow;
+  if ((fault_ == InjectedFaultKind::forwarder_slow) != slow) runtime_.hold(slow);
   fault_ = kind;
 }
 
 void Forwarder::listen() {
   listener_ = std::make_unique<net::Listener>(loop_, s_.listen, [this](net::Fd fd, const Endpoint&) {
     const std::uint64_t number = ++number_;
-    auto peer = std::make_shared<Peer>();
+    auto peer = std::make_shared<ClientConnection>();
     peers_[number] = peer;
     peer->connection = net::Connection::make(
         loop_, std::move(fd), {64U << 10U, 1U << 20U, Span::seconds(60)},
@@ -100,7 +103,7 @@
   });
 }
 
-// ---- The runtime socket --------------------------------------------------------------------------------
+// ---- Runtime socket ------------------------------------------------------------------------------------
 
 std::string Forwarder::command(std::uint64_t peer, const std::string& text) {
   const auto words = runtime_api::split_words(text);
@@ -111,22 +114,22 @@
     return fmt::format("Name: HAProxy\nVersion: stand-in\nUptime_sec: {:.0f}\nnode: {}\n",
                        (loop_.now() - started_).seconds(), s_.name);
   if (is({"show", "servers", "state"})) {
-    if (led_by_.insert(peer).second) recorder_.write(loop_.now(), "joined", {{"forwarder", s_.name}});
+    if (leader_streams_.insert(peer).second) recorder_.write(loop_.now(), "joined", {{"forwarder", s_.name}});
     const std::string whole = servers_state();
-    return fault_ == TroubleKind::forwarder_half ? whole.substr(0, whole.size() * 5 / 8) : whole;
+    return fault_ == InjectedFaultKind::forwarder_half ? whole.substr(0, whole.size() * 5 / 8) : whole;
   }
   if (is({"show", "stat"})) return stat();
   if (is({"get", "var", "proc.gm_term"}))
-    return highest_ == 0 ? "proc.gm_term: undefined variable or value not set\n"
-                         : fmt::format("proc.gm_term: type=sint value=<{}>\n", highest_);
+    return highest_term_ == 0 ? "proc.gm_term: undefined variable or value not set\n"
+                              : fmt::format("proc.gm_term: type=sint value=<{}>\n", highest_term_);
   const bool changes = is({"set"}) || is({"add"}) || is({"del"}) || is({"enable"}) || is({"disable"});
   if (!changes) return fmt::format("Unknown command: '{}'.\n", words.empty() ? "" : words[0]);
-  if (fault_ == TroubleKind::forwarder_refuse) return "Permission denied\n";
+  if (fault_ == InjectedFaultKind::forwarder_refuse) return "Permission denied\n";
   if (is({"set", "var", "proc.gm_term"}) && words.size() == 4 && words[3].starts_with("int(")) {
     const std::uint64_t term = std::strtoull(words[3].c_str() + 4, nullptr, 10);
     terms_[peer] = term;
-    if (term < highest_ && s_.fences) return "Permission denied: a higher term was seen\n";
-    highest_ = std::max(highest_, term);
+    if (term < highest_term_ && s_.fences) return "Permission denied: a higher term was seen\n";
+    highest_term_ = std::max(highest_term_, term);
     return "";
   }
   if (is({"set", "var", "proc.gm_leader"}) && words.size() == 4 && words[3].starts_with("str(")) {
@@ -134,16 +137,16 @@
     return "";
   }
   if (const auto term = terms_.find(peer); term != terms_.end()) {
-    if (term->second < highest_ && s_.fences) return "Permission denied: a higher term was seen\n";
+    if (term->second < highest_term_ && s_.fences) return "Permission denied: a higher term was seen\n";
     recorder_.write(loop_.now(), "obeyed", {{"forwarder", s_.name}, {"term", term->second}});
-    if (cut_)
-      runtime_.freeze_after(peer, cut_bytes_,
-                            [this, peer, then = std::exchange(cut_, {})] { then(leaders_[peer]); });
+    if (cut_callback_)
+      runtime_.freeze_after(peer, cut_after_bytes_,
+                            [this, peer, then = std::exchange(cut_callback_, {})] { then(leaders_[peer]); });
   }
-  still_until_ = std::max(still_until_, loop_.now()) + kStill;
+  paused_until_ = std::max(paused_until_, loop_.now()) + kCommandPause;
   if (is({"set", "var"}) && words.size() == 4 && words[2].starts_with("proc.gm_") &&
       words[3].starts_with("int(")) {
-    values_[words[2].substr(8)] = std::atoi(words[3].c_str() + 4);
+    variables_[words[2].substr(8)] = std::atoi(words[3].c_str() + 4);
     return "";
   }
   if (is({"set", "server"})) return set_server(words);
@@ -197,7 +200,7 @@
     held.at.address = *address;
     if (words.size() > 6 && words[5] == "port")
       held.at.port = static_cast<std::uint16_t>(std::atoi(words[6].c_str()));
-    it->second.in_a_row = 0, it->second.avoid_until = {};
+    it->second.consecutive_failures = 0, it->second.avoid_until = {};
     return "IP changed from 'somewhere' by 'stats socket command'\n";
   } else {
     return "'set server <srv>' only supports 'weight', 'state' and 'addr' here.\n";
@@ -225,35 +228,36 @@
 std::string Forwarder::stat() const {
   std::string out =
       "# pxname,svname,qcur,qmax,scur,stot,econ,eresp,wredis,weight,hrsp_2xx,hrsp_5xx,ttime,extra,\n";
-  const bool lies = fault_ == TroubleKind::forwarder_lie;
-  for (const auto& op : s_.operations) {
+  const bool false_counters = fault_ == InjectedFaultKind::forwarder_lie;
+  for (const auto& operation : s_.operations) {
     for (const auto& [key, line] : lines_)
-      if (key.first == op.name)
-        out += fmt::format("{},{},0,0,{},{},{},0,0,{},{},{},{:.0f},,\n", key.first, key.second, line.out,
-                           line.tries, line.errored, line.held.weight,
+      if (key.first == operation.name)
+        out += fmt::format("{},{},0,0,{},{},{},0,0,{},{},{},{:.0f},,\n", key.first, key.second,
+                           line.in_flight, line.tries, line.errored, line.held.weight,
                            line.tries - std::min(line.tries, line.errored + line.failed),
-                           lies ? line.tries * 50 : line.failed, 1000 * line.latency);
-    const auto it = arrived_.find(op.name);
-    const auto again = further_.find(op.name);
-    out += fmt::format("{},BACKEND,0,0,0,{},0,0,{},0,0,0,0,,\n", op.name,
-                       it == arrived_.end() ? 0 : it->second, again == further_.end() ? 0 : again->second);
+                           false_counters ? line.tries * 50 : line.failed, 1000 * line.latency);
+    const auto it = arrived_.find(operation.name);
+    const auto retries = retries_.find(operation.name);
+    out +=
+        fmt::format("{},BACKEND,0,0,0,{},0,0,{},0,0,0,0,,\n", operation.name,
+                    it == arrived_.end() ? 0 : it->second, retries == retries_.end() ? 0 : retries->second);
   }
   return out;
 }
 
 // ---- Invocations ---------------------------------------------------------------------------------------
 
-int Forwarder::value(const std::string& name, int otherwise) const {
+int Forwarder::variable(const std::string& name, int fallback) const {
   std::string key = name;
   std::replace(key.begin(), key.end(), '-', '_');
-  const auto it = values_.find(key);
-  return it == values_.end() ? otherwise : it->second;
+  const auto it = variables_.find(key);
+  return it == variables_.end() ? fallback : it->second;
 }
 
-bool Forwarder::admitted(std::size_t operation) {
+bool Forwarder::admit(std::size_t operation) {
   const std::string& name = s_.operations[operation].name;
-  if (std::uniform_int_distribution<>{0, 999}(chance_) >= value("level_" + name, 1000)) return false;
-  const int rate = value("rate_" + name, -1);
+  if (std::uniform_int_distribution<>{0, 999}(random_) >= variable("level_" + name, 1000)) return false;
+  const int rate = variable("rate_" + name, -1);
   if (rate < 0 || rate >= 1'000'000'000) return true;
   auto& [left, at] = tokens_[name];
   const double per_second = rate / 10.0;
@@ -269,57 +273,58 @@
   for (std::size_t k = 0; k < s_.operations.size(); ++k) {
     if (request.target != "/invoke/" + s_.operations[k].name) continue;
     auto call = std::make_shared<Call>();
-    call->connection = connection, call->operation = k, call->id = request.body, call->came = loop_.now();
+    call->connection = connection, call->operation = k, call->id = request.body,
+    call->arrived_at = loop_.now();
     ++arrived_[s_.operations[k].name];
-    if (!admitted(k)) return answer(*call, 429, true);
-    meter_.record_first_try(loop_.now());
-    // While it reads lines it stands still, and whoever comes waits for that.
-    loop_.at(std::max(loop_.now(), still_until_), [this, call] { forward(call); });
+    if (!admit(k)) return answer(*call, 429, true);
+    retry_limiter_.record_first_try(loop_.now());
+    // Requests wait while it applies commands.
+    loop_.at(std::max(loop_.now(), paused_until_), [this, call] { forward(call); });
     return;
   }
   connection->send(net::write(net::Response{404, {}, "no such operation\n", true}));
 }
 
-std::optional<std::string> Forwarder::pick(const Call& call) {
-  const std::string& op = s_.operations[call.operation].name;
-  std::vector<std::pair<std::string, const Line*>> fit;
+std::optional<std::string> Forwarder::select_worker(const Call& call) {
+  const std::string& operation = s_.operations[call.operation].name;
+  std::vector<std::pair<std::string, const Line*>> candidates;
   for (const bool all : {false, true}) {
     for (const auto& [key, line] : lines_)
-      if (key.first == op && line.held.picked() > 0 &&
+      if (key.first == operation && line.held.picked() > 0 &&
           (all || (loop_.now() >= line.avoid_until &&
                    std::find(call.tried.begin(), call.tried.end(), key.second) == call.tried.end())))
-        fit.emplace_back(key.second, &line);
-    if (!fit.empty()) break;
+        candidates.emplace_back(key.second, &line);
+    if (!candidates.empty()) break;
   }
-  if (fit.empty()) return {};
+  if (candidates.empty()) return {};
   std::vector<double> weights;
-  for (const auto& [name, line] : fit) weights.push_back(line->held.picked());
+  for (const auto& [name, line] : candidates) weights.push_back(line->held.picked());
   std::discrete_distribution<std::size_t> draw{weights.begin(), weights.end()};
-  const auto* chosen = &fit[draw(chance_)];
+  const auto* chosen = &candidates[draw(random_)];
   if (s_.two_choice) {
-    const auto* other = &fit[draw(chance_)];
-    if (other->second->out < chosen->second->out) chosen = other;
+    const auto* other = &candidates[draw(random_)];
+    if (other->second->in_flight < chosen->second->in_flight) chosen = other;
   }
   return chosen->first;
 }
 
 void Forwarder::forward(const std::shared_ptr<Call>& call) {
-  const auto& op = s_.operations[call->operation];
-  const auto worker = pick(*call);
+  const auto& operation = s_.operations[call->operation];
+  const auto worker = select_worker(*call);
   if (!worker) {
-    recorder_.write(loop_.now(), "bare", {{"forwarder", s_.name}, {"operation", op.name}});
+    recorder_.write(loop_.now(), "bare", {{"forwarder", s_.name}, {"operation", operation.name}});
     return answer(*call, 503, true);
   }
-  const Key key{op.name, *worker};
+  const Key key{operation.name, *worker};
   Line& line = lines_.at(key);
-  ++line.tries, ++line.out, ++call->tries;
+  ++line.tries, ++line.in_flight, ++call->tries;
   call->tried.push_back(*worker);
   recorder_.write(loop_.now(), "sent",
                   {{"id", call->id},
                    {"to", line.held.at.text()},
                    {"obeys", true},
                    {"forwarder", s_.name},
-                   {"operation", op.name}});
+                   {"operation", operation.name}});
   const Endpoint to = line.held.at;
   auto& idle = pool_[to];
   std::unique_ptr<net::HttpClient> http;
@@ -331,49 +336,52 @@
   }
   auto* raw = http.get();
   auto held = std::make_shared<std::unique_ptr<net::HttpClient>>(std::move(http));
-  const Span left = op.integration_timeout * 0.8 - (loop_.now() - call->came);
-  raw->ask({"POST", "/invoke/" + op.name, {}, call->id, true}, std::max(Span::seconds(0.001), left),
+  const Span remaining = operation.integration_timeout * 0.8 - (loop_.now() - call->arrived_at);
+  raw->ask({"POST", "/invoke/" + operation.name, {}, call->id, true},
+           std::max(Span::seconds(0.001), remaining),
            [this, call, key, to, held](net::HttpClient::Result result) {
              if (result.outcome == net::HttpClient::Outcome::answered) {
                pool_[to].push_back(std::move(*held));
              } else {
                loop_.soon([gone = std::make_shared<std::unique_ptr<net::HttpClient>>(std::move(*held))] {});
              }
-             replied(call, key, result);
+             on_reply(call, key, result);
            });
 }
 
-void Forwarder::replied(const std::shared_ptr<Call>& call, const Key& key,
-                        const net::HttpClient::Result& result) {
+void Forwarder::on_reply(const std::shared_ptr<Call>& call, const Key& key,
+                         const net::HttpClient::Result& result) {
   using Outcome = net::HttpClient::Outcome;
-  const bool well = result.outcome == Outcome::answered && result.response.status == 200;
-  const bool proof =
+  const bool succeeded = result.outcome == Outcome::answered && result.response.status == 200;
+  const bool never_ran =
       !result.sent || (result.outcome == Outcome::answered && result.response.header("Never-Ran") != nullptr);
   if (const auto it = lines_.find(key); it != lines_.end()) {
     Line& line = it->second;
-    --line.out;
-    if (well) {
-      line.in_a_row = 0;
+    --line.in_flight;
+    if (succeeded) {
+      line.consecutive_failures = 0;
       line.latency =
           line.latency == 0 ? result.took.seconds() : 0.9 * line.latency + 0.1 * result.took.seconds();
     } else {
       ++(result.outcome == Outcome::answered ? line.failed : line.errored);
-      if (++line.in_a_row >= kFailures) line.in_a_row = 0, line.avoid_until = loop_.now() + kAway;
+      if (++line.consecutive_failures >= kMaxConsecutiveFailures)
+        line.consecutive_failures = 0, line.avoid_until = loop_.now() + kAvoidTime;
     }
   }
-  if (well) return answer(*call, 200, false);
-  // 0: no other try; 1: one after proof; 2, 3: one or two after any failure. Side-effecting work only on
-  // proof.
-  const auto& op = s_.operations[call->operation];
-  const int how = value("tries_" + op.name, 1);
-  const int most = how == 0 ? 1 : how == 3 ? 3 : 2;
-  const bool may = how > 0 && call->tries < most && (proof || (how >= 2 && op.may_repeat()));
-  if (may && loop_.now() - call->came < op.integration_timeout * 0.6 &&
-      meter_.allow_retry(loop_.now(), value("retries", -1))) {
-    ++further_[op.name];
+  if (succeeded) return answer(*call, 200, false);
+  // 0: no retry; 1: one retry if the try provably never ran; 2 or 3: one or two retries after any failure.
+  // Side-effecting work is retried only if it provably never ran.
+  const auto& operation = s_.operations[call->operation];
+  const int retry_mode = variable("tries_" + operation.name, 1);
+  const int max_tries = retry_mode == 0 ? 1 : retry_mode == 3 ? 3 : 2;
+  const bool may_retry =
+      retry_mode > 0 && call->tries < max_tries && (never_ran || (retry_mode >= 2 && operation.may_repeat()));
+  if (may_retry && loop_.now() - call->arrived_at < operation.integration_timeout * 0.6 &&
+      retry_limiter_.allow_retry(loop_.now(), variable("retries", -1))) {
+    ++retries_[operation.name];
     return forward(call);
   }
-  answer(*call, proof ? 503 : 502, proof);
+  answer(*call, never_ran ? 503 : 502, never_ran);
 }
 
 void Forwarder::answer(const Call& call, unsigned status, bool never_ran) {
--- a/src/standins/forwarder.hpp
+++ b/src/standins/forwarder.hpp
@@ -1,6 +1,6 @@
-// A stand-in forwarder: a plain proxy with a runtime socket in the published command language. It picks by
-// its table and nothing else, keeps it when the stream breaks, avoids what failed it, and has faults on
-// command.
+// A stand-in forwarder: a plain proxy with a runtime socket that speaks the published command language. It
+// selects workers only by its table, keeps the table when the stream breaks, avoids workers that failed
+// repeatedly, and has injectable faults.
 #pragma once
 
 #include <functional>
@@ -23,9 +23,9 @@
   std::string name, zone;
   Endpoint listen, runtime;
   std::vector<DayOperation> operations;
-  std::vector<RosterLine> first;  // what its own configuration lists
+  std::vector<RosterLine> initial_servers;  // servers of its initial configuration
   bool two_choice = false;
-  bool fences = true;  // takes nothing from a stream whose term is below one that it has seen
+  bool fences = true;  // rejects commands of a stream whose term is below the highest seen
 };
 
 class Forwarder {
@@ -35,10 +35,10 @@
   Forwarder(const Forwarder&) = delete;
   Forwarder& operator=(const Forwarder&) = delete;
 
-  void restart();  // as its configuration has it: what it was told is forgotten
+  void restart();  // back to its initial configuration; all received changes are lost
   void break_streams();
-  void fault(std::optional<TroubleKind> kind);
-  // Of the next orders that many bytes are taken; what follows stays on the way. `then` gets the sender's
+  void inject_fault(std::optional<InjectedFaultKind> kind);
+  // Reads only the next `bytes` of commands; the rest stays in flight. Then calls `then` with the sender's
   // name.
   void cut_after(std::size_t bytes, std::function<void(const std::string& leader)> then);
   void thaw() { runtime_.thaw(); }
@@ -49,13 +49,13 @@
   using Key = std::pair<std::string, std::string>;
   struct Line {
     forwarders::HeldLine held;
-    std::uint64_t tries = 0, errored = 0, failed = 0;  // failed: 5xx
+    std::uint64_t tries = 0, errored = 0, failed = 0;  // failed: 5xx responses
     double latency = 0;
-    int out = 0, in_a_row = 0;
+    int in_flight = 0, consecutive_failures = 0;
     Instant avoid_until;
   };
   struct Call;
-  struct Peer;
+  struct ClientConnection;
 
   void configure();
   void listen();
@@ -65,33 +65,34 @@
   [[nodiscard]] std::string stat() const;
   void request(const std::shared_ptr<net::Connection>& connection, const net::Request& request);
   void forward(const std::shared_ptr<Call>& call);
-  void replied(const std::shared_ptr<Call>& call, const Key& key, const net::HttpClient::Result& result);
+  void on_reply(const std::shared_ptr<Call>& call, const Key& key, const net::HttpClient::Result& result);
   void answer(const Call& call, unsigned status, bool never_ran);
-  [[nodiscard]] std::optional<std::string> pick(const Call& call);
-  [[nodiscard]] bool admitted(std::size_t operation);
-  [[nodiscard]] int value(const std::string& name, int otherwise) const;
+  [[nodiscard]] std::optional<std::string> select_worker(const Call& call);
+  [[nodiscard]] bool admit(std::size_t operation);
+  [[nodiscard]] int variable(const std::string& name, int fallback) const;
 
   net::Loop& loop_;
   Recorder& recorder_;
   ForwarderSettings s_;
-  std::mt19937 chance_;
+  std::mt19937 random_;
   std::map<Key, Line> lines_;
-  std::map<std::string, int> values_;
-  std::map<std::string, std::uint64_t> arrived_, further_;
-  limits::RetryLimiter meter_;
-  std::map<std::string, std::pair<double, Instant>> tokens_;  // of rates, by operation
-  std::optional<TroubleKind> fault_;
-  Instant started_, still_until_;  // it stands still while it reads lines
+  std::map<std::string, int> variables_;
+  std::map<std::string, std::uint64_t> arrived_, retries_;
+  limits::RetryLimiter retry_limiter_;
+  std::map<std::string, std::pair<double, Instant>>
+      tokens_;  // token buckets of the rate limits, by operation
+  std::optional<InjectedFaultKind> fault_;
+  Instant started_, paused_until_;  // forwards nothing before this, while it applies changes
   runtime_api::CommandServer runtime_;
   std::unique_ptr<net::Listener> listener_;
-  std::map<std::uint64_t, std::shared_ptr<Peer>> peers_;
+  std::map<std::uint64_t, std::shared_ptr<ClientConnection>> peers_;
   std::map<Endpoint, std::vector<std::unique_ptr<net::HttpClient>>> pool_;
-  std::map<std::uint64_t, std::uint64_t> terms_;  // of streams that said theirs
-  std::map<std::uint64_t, std::string> leaders_;  // by peer, as it says
-  std::uint64_t highest_ = 0;
-  std::size_t cut_bytes_ = 0;
-  std::function<void(const std::string&)> cut_;
-  std::set<std::uint64_t> led_by_;  // streams that asked what it holds: whoever does, leads it
+  std::map<std::uint64_t, std::uint64_t> terms_;  // announced terms, by stream
+  std::map<std::uint64_t, std::string> leaders_;  // announced leader names, by stream
+  std::uint64_t highest_term_ = 0;
+  std::size_t cut_after_bytes_ = 0;
+  std::function<void(const std::string&)> cut_callback_;
+  std::set<std::uint64_t> leader_streams_;  // streams that read the server state, which only a leader does
   std::uint64_t number_ = 0;
 };
 
--- a/src/standins/main.cpp
+++ b/src/standins/main.cpp
@@ -1,4 +1,4 @@
-// The program `gorsemount-standin`: the workers and clients of one fleet, and the auditor.
+// The program `gorsemount-standin`: runs the workers, forwarders and clients of one fleet, and the auditor.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <exception>
@@ -9,21 +9,22 @@
 
 int main(int argc, char** argv) {
   using namespace gorsemount;
-  CLI::App app{"Stand-ins on loopback for gorsemount's workers and clients", "gorsemount-standin"};
+  CLI::App app{"Loopback stand-ins for gorsemount's workers, forwarders and clients", "gorsemount-standin"};
   app.require_subcommand(1);
   standins::PlayOptions options;
   std::string file;
   std::int64_t start = 0;
-  auto* play = app.add_subcommand("play", "play the workers and clients of a day");
-  play->add_option("DAY", file, "the day (HCL)")->required();
-  play->add_option("--folder", options.folder, "where records and the roster go")->required();
-  play->add_option("--octet", options.places.octet, "second byte of the loopback addresses")
+  auto* play = app.add_subcommand("play", "run the workers, forwarders and clients of a scenario");
+  play->add_option("DAY", file, "the scenario file (HCL)")->required();
+  play->add_option("--folder", options.folder, "output folder for the records and the roster")->required();
+  play->add_option("--octet", options.addresses.octet, "second byte of the loopback addresses")
       ->check(CLI::Range(10, 200));
-  play->add_option("--start", start, "when the day begins, microseconds of the monotonic clock")->required();
-  play->add_flag("--show", options.show, "a live line of weights by zone");
-  auto* judge = app.add_subcommand("audit", "judge a folder's records by a day's rules");
-  judge->add_option("DAY", file, "the day (HCL)")->required();
-  judge->add_option("--folder", options.folder, "where the records are")->required();
+  play->add_option("--start", start, "start of the scenario, in microseconds of the monotonic clock")
+      ->required();
+  play->add_flag("--show", options.show, "print the weights by zone once a second");
+  auto* judge = app.add_subcommand("audit", "check a folder's records against the rules of a scenario");
+  judge->add_option("DAY", file, "the scenario file (HCL)")->required();
+  judge->add_option("--folder", options.folder, "folder of the records")->required();
   CLI11_PARSE(app, argc, argv);
 
   std::vector<hcl::Fault> faults;
--- a/src/standins/play.hpp
+++ b/src/standins/play.hpp
@@ -1,4 +1,4 @@
-// Plays one day: all workers and clients of a fleet in one process, on one loop.
+// Runs one scenario: all workers, forwarders and clients of a fleet in one process, on one event loop.
 #pragma once
 
 #include <string>
@@ -8,12 +8,12 @@
 namespace gorsemount::standins {
 
 struct PlayOptions {
-  Places places;
-  std::string folder;  // for records and the roster
-  Instant start;       // when the day begins, so that two fleets and their coordinators keep step
-  bool show = false;   // a live line of weights by zone
+  AddressPlan addresses;
+  std::string folder;  // for the records and the roster
+  Instant start;       // start of the scenario, shared by two fleets and their coordinators
+  bool show = false;   // print the weights by zone once a second
 };
-// Returns when the day is over. Throws std::system_error if it can't listen.
+// Returns when the scenario is over. Throws std::system_error if it can't listen.
 void play(const Day& day, const PlayOptions& options);
 
 }  // namespace gorsemount::standins
--- a/src/standins/records.cpp
+++ b/src/standins/records.cpp
@@ -32,7 +32,7 @@
       auto fields = nlohmann::json::parse(line, nullptr, false);
       if (fields.is_discarded() || !fields.contains("t") || !fields.contains("what")) {
         if (in.eof()) break;
-        throw std::runtime_error{path.string() + ":" + std::to_string(number) + ": is no record"};
+        throw std::runtime_error{path.string() + ":" + std::to_string(number) + ": invalid record"};
       }
       const auto t = fields["t"].get<std::int64_t>();
       const auto what = fields["what"].get<std::string>();
--- a/src/standins/records.hpp
+++ b/src/standins/records.hpp
@@ -1,5 +1,5 @@
-// What passed on a stand-in's sockets, with the monotonic time: one JSON object a line. The auditor reads
-// these and nothing else.
+// Events on the stand-ins' sockets with their monotonic times, one JSON object a line. They are the auditor's
+// only input.
 #pragma once
 
 #include <cstdio>
@@ -15,7 +15,7 @@
 class Recorder {
  public:
   explicit Recorder(const std::string& file);  // throws std::system_error
-  // `fields`: what belongs to it; "t" (microseconds) and "what" are added.
+  // Writes `fields` with "t" (microseconds) and "what" added.
   void write(Instant at, const char* what, nlohmann::ordered_json fields);
 
  private:
@@ -32,8 +32,8 @@
   [[nodiscard]] std::string text(const char* key) const { return fields.value(key, std::string{}); }
   [[nodiscard]] double number(const char* key) const { return fields.value(key, 0.0); }
 };
-// All records of a folder's *.records files, in the order of time. A last line cut off by a kill is left out;
-// any other that can't be read throws std::runtime_error with file and line.
+// Returns all records of a folder's *.records files in chronological order. A last line truncated by a kill
+// is skipped; any other invalid line throws std::runtime_error with file and line.
 [[nodiscard]] std::vector<Record> read_records(const std::string& folder);
 
 }  // namespace gorsemount::standins
--- a/src/standins/resolver.cpp
+++ b/src/standins/resolver.cpp
@@ -13,12 +13,12 @@
 
 namespace {
 
-struct FreePacket {
+struct PacketDeleter {
   void operator()(ldns_pkt* p) const { ldns_pkt_free(p); }
 };
-using Packet = std::unique_ptr<ldns_pkt, FreePacket>;
+using Packet = std::unique_ptr<ldns_pkt, PacketDeleter>;
 
-std::string question(const std::string& name, bool srv, std::uint16_t id) {
+std::string encode_query(const std::string& name, bool srv, std::uint16_t id) {
   ldns_rdf* owner = ldns_dname_new_frm_str(name.c_str());
   if (owner == nullptr) return {};
   const Packet packet{
@@ -47,30 +47,30 @@
   return out;
 }
 
-Answer read(const ldns_pkt* packet, bool srv, std::uint16_t port) {
+Answer decode_answer(const ldns_pkt* packet, bool srv, std::uint16_t port) {
   Answer answer;
   const auto code = ldns_pkt_get_rcode(packet);
   answer.answered = code == LDNS_RCODE_NOERROR || code == LDNS_RCODE_NXDOMAIN;
   const ldns_rr_list* records = ldns_pkt_answer(packet);
-  std::map<std::string, Address> beside;
+  std::map<std::string, Address> additional_addresses;
   const ldns_rr_list* additional = ldns_pkt_additional(packet);
   for (std::size_t k = 0; k < ldns_rr_list_rr_count(additional); ++k) {
     const ldns_rr* rr = ldns_rr_list_rr(additional, k);
     if (ldns_rr_get_type(rr) == LDNS_RR_TYPE_A)
-      beside[name_of(ldns_rr_owner(rr))] = address_of(ldns_rr_rdf(rr, 0));
+      additional_addresses[name_of(ldns_rr_owner(rr))] = address_of(ldns_rr_rdf(rr, 0));
   }
-  std::uint32_t lifetime = 3600;
+  std::uint32_t ttl = 3600;
   for (std::size_t k = 0; k < ldns_rr_list_rr_count(records); ++k) {
     const ldns_rr* rr = ldns_rr_list_rr(records, k);
-    lifetime = std::min(lifetime, ldns_rr_ttl(rr));
+    ttl = std::min(ttl, ldns_rr_ttl(rr));
     if (srv && ldns_rr_get_type(rr) == LDNS_RR_TYPE_SRV) {
       const std::string target = name_of(ldns_rr_rdf(rr, 3));
       if (target == ".") {
-        answer.unavailable = true;
+        answer.rate_limited = true;
         continue;
       }
-      const auto it = beside.find(target);
-      if (it == beside.end()) continue;  // this stand-in takes addresses from beside the records only
+      const auto it = additional_addresses.find(target);
+      if (it == additional_addresses.end()) continue;  // addresses are taken only from the additional section
       Target t;
       t.priority = ldns_rdf2native_int16(ldns_rr_rdf(rr, 0)),
       t.weight = ldns_rdf2native_int16(ldns_rr_rdf(rr, 1));
@@ -80,78 +80,78 @@
       answer.targets.push_back({{address_of(ldns_rr_rdf(rr, 0)), port}, 1, 0});
     }
   }
-  answer.lifetime = Span::seconds(answer.targets.empty() ? 1 : lifetime);
+  answer.ttl = Span::seconds(answer.targets.empty() ? 1 : ttl);
   return answer;
 }
 
 }  // namespace
 
-Resolver::Resolver(net::Loop& loop, const Address& from, std::vector<Endpoint> servers, Span patience,
+Resolver::Resolver(net::Loop& loop, const Address& from, std::vector<Endpoint> servers, Span timeout,
                    std::uint16_t port)
     : loop_{loop},
       from_{from},
       servers_{std::move(servers)},
-      patience_{patience},
+      server_timeout_{timeout},
       port_{port},
       fd_{net::udp_socket({from, 0})} {
-  loop_.watch(fd_.get(), EPOLLIN, [this](std::uint32_t) { received(); });
+  loop_.watch(fd_.get(), EPOLLIN, [this](std::uint32_t) { on_readable(); });
 }
 
 Resolver::~Resolver() {
-  loop_.cancel(timeout_);
+  loop_.cancel(timer_);
   loop_.unwatch(fd_.get());
   if (tcp_) tcp_->abort();
 }
 
-void Resolver::ask(const std::string& name, bool srv, Done done) {
-  name_ = name, srv_ = srv, done_ = std::move(done), tried_ = 0;
+void Resolver::query(const std::string& name, bool srv, Callback callback) {
+  name_ = name, srv_ = srv, callback_ = std::move(callback), servers_tried_ = 0;
   send();
 }
 
 void Resolver::send() {
-  // The server that answered last is asked first; one that is silent costs its patience once.
-  const Endpoint& to = servers_[(first_ + tried_) % servers_.size()];
+  // Starts with the server that answered last, so that an unresponsive one costs its timeout only once.
+  const Endpoint& to = servers_[(first_server_ + servers_tried_) % servers_.size()];
   sockaddr_in a{};
   a.sin_family = AF_INET, a.sin_port = htons(to.port);
   std::memcpy(&a.sin_addr, to.address.bytes.data(), 4);
-  const std::string bytes = question(name_, srv_, ++id_);
+  const std::string bytes = encode_query(name_, srv_, ++query_id_);
   ::sendto(fd_.get(), bytes.data(), bytes.size(), 0, reinterpret_cast<const sockaddr*>(&a), sizeof a);
-  timeout_ = loop_.after(patience_, [this] {
-    timeout_ = {};
-    attempt_.reset();
+  timer_ = loop_.after(server_timeout_, [this] {
+    timer_ = {};
+    tcp_connect_.reset();
     if (tcp_) std::exchange(tcp_, {})->abort();
-    if (++tried_ < servers_.size()) return send();
-    end({});
+    if (++servers_tried_ < servers_.size()) return send();
+    finish({});
   });
 }
 
-void Resolver::received() {
+void Resolver::on_readable() {
   std::uint8_t data[4096];
   for (ssize_t n = 0;
        (n = ::recv(fd_.get(), data, sizeof data, 0)) >= 0 || errno == ECONNREFUSED || errno == EINTR;)
-    if (n > 0) take(data, static_cast<std::size_t>(n));
+    if (n > 0) handle_packet(data, static_cast<std::size_t>(n));
 }
 
-bool Resolver::take(const std::uint8_t* data, std::size_t size) {
+bool Resolver::handle_packet(const std::uint8_t* data, std::size_t size) {
   ldns_pkt* raw = nullptr;
   if (ldns_wire2pkt(&raw, data, size) != LDNS_STATUS_OK) return false;
   const Packet packet{raw};
-  if (!done_ || ldns_pkt_id(raw) != id_) return false;  // a late answer to another question
+  if (!callback_ || ldns_pkt_id(raw) != query_id_) return false;  // late answer to an earlier query
   if (ldns_pkt_tc(raw) && !tcp_) {
-    over_tcp();
+    retry_over_tcp();
     return true;
   }
-  Answer answer = read(raw, srv_, port_);
-  if (!answer.answered) return true;  // refused or failed: the next server, when its time is up
-  first_ = (first_ + tried_) % servers_.size();
-  end(std::move(answer));
+  Answer answer = decode_answer(raw, srv_, port_);
+  if (!answer.answered) return true;  // refused or failed: the timeout moves on to the next server
+  first_server_ = (first_server_ + servers_tried_) % servers_.size();
+  finish(std::move(answer));
   return true;
 }
 
-void Resolver::over_tcp() {
-  attempt_ =
-      net::connect(loop_, servers_[(first_ + tried_) % servers_.size()], from_, [this](net::Fd fd, int) {
-        attempt_.reset();
+void Resolver::retry_over_tcp() {
+  tcp_connect_ = net::connect(
+      loop_, servers_[(first_server_ + servers_tried_) % servers_.size()], from_, [this](net::Fd fd, int) {
+        tcp_connect_.reset();
         if (!fd) return;
         tcp_ = net::Connection::make(
             loop_, std::move(fd), {},
@@ -160,20 +160,20 @@
               const auto* bytes = reinterpret_cast<const std::uint8_t*>(in.data());
               const std::size_t size = static_cast<std::size_t>(bytes[0]) << 8U | bytes[1];
               if (in.size() < 2 + size) return 0;
-              take(bytes + 2, size);
+              handle_packet(bytes + 2, size);
               return 2 + size;
             },
             [](const char*) {});
-        const std::string bytes = question(name_, srv_, id_);
+        const std::string bytes = encode_query(name_, srv_, query_id_);
         tcp_->send(std::string{static_cast<char>(bytes.size() >> 8U), static_cast<char>(bytes.size())} +
                    bytes);
       });
 }
 
-void Resolver::end(Answer answer) {
-  loop_.cancel(timeout_);
+void Resolver::finish(Answer answer) {
+  loop_.cancel(timer_);
   if (tcp_) std::exchange(tcp_, {})->abort();
-  if (done_) std::exchange(done_, {})(std::move(answer));
+  if (callback_) std::exchange(callback_, {})(std::move(answer));
 }
 
 }  // namespace gorsemount::standins
--- a/src/standins/resolver.hpp
+++ b/src/standins/resolver.hpp
@@ -1,4 +1,4 @@
-// A stand-in stub resolver on ldns: asks coordinators over UDP, and over TCP where an answer is truncated.
+// A stub resolver on ldns: queries coordinators over UDP, and over TCP when an answer is truncated.
 #pragma once
 
 #include <functional>
@@ -16,46 +16,46 @@
   unsigned priority = 0;
 };
 struct Answer {
-  bool answered = false;     // some server answered with sense
-  bool unavailable = false;  // it said that the service is not available: rate-limited
+  bool answered = false;      // a server replied with NOERROR or NXDOMAIN
+  bool rate_limited = false;  // the SRV target was "." (service not available)
   std::vector<Target> targets;
-  Span lifetime;
+  Span ttl;
 };
 
 class Resolver {
  public:
-  using Done = std::function<void(Answer)>;
-  // Asks `servers` in turn, each for `patience`. `port`: for addresses, which tell none.
-  Resolver(net::Loop& loop, const Address& from, std::vector<Endpoint> servers, Span patience,
+  using Callback = std::function<void(Answer)>;
+  // Queries `servers` in turn, each with the timeout `timeout`. `port`: the port of address records' targets.
+  Resolver(net::Loop& loop, const Address& from, std::vector<Endpoint> servers, Span timeout,
            std::uint16_t port);
   ~Resolver();
   Resolver(const Resolver&) = delete;
   Resolver& operator=(const Resolver&) = delete;
 
-  // One question at a time for each resolver; `srv`: SRV records, else addresses.
-  void ask(const std::string& name, bool srv, Done done);
-  [[nodiscard]] bool busy() const { return static_cast<bool>(done_); }
+  // Runs one query at a time. `srv`: asks for SRV records, otherwise for address records.
+  void query(const std::string& name, bool srv, Callback callback);
+  [[nodiscard]] bool busy() const { return static_cast<bool>(callback_); }
 
  private:
   void send();
-  void received();
-  bool take(const std::uint8_t* data, std::size_t size);
-  void over_tcp();
-  void end(Answer answer);
+  void on_readable();
+  bool handle_packet(const std::uint8_t* data, std::size_t size);
+  void retry_over_tcp();
+  void finish(Answer answer);
 
   net::Loop& loop_;
   Address from_;
   std::vector<Endpoint> servers_;
-  Span patience_;
+  Span server_timeout_;
   std::uint16_t port_;
   net::Fd fd_;
   std::string name_;
   bool srv_ = false;
-  Done done_;
-  std::size_t tried_ = 0, first_ = 0;
-  std::uint16_t id_ = 0;
-  net::Loop::Timer timeout_;
-  std::shared_ptr<void> attempt_;
+  Callback callback_;
+  std::size_t servers_tried_ = 0, first_server_ = 0;
+  std::uint16_t query_id_ = 0;
+  net::Loop::Timer timer_;
+  std::shared_ptr<void> tcp_connect_;
   std::shared_ptr<net::Connection> tcp_;
 };
 
--- a/src/standins/worker.cpp
+++ b/src/standins/worker.cpp
@@ -8,19 +8,19 @@
 
 namespace {
 
-constexpr double kHealthWork = 0.002;  // s: a health call goes through the queue like any other work
-const Span kLoadOver = Span::seconds(0.5);
-const char* const kNeverRan = "Never-Ran";  // on a refusal: proof that nothing was begun
+constexpr double kHealthCheckWorkSeconds = 0.002;  // health checks are queued like any other work
+const Span kUtilizationWindow = Span::seconds(0.5);
+const char* const kNeverRan = "Never-Ran";  // header of a rejection: the invocation was never begun
 
 }  // namespace
 
-struct Worker::Peer {
+struct Worker::ClientConnection {
   std::shared_ptr<net::Connection> connection;
   net::HttpReader<net::Request> reader;
 };
 
 Worker::Worker(net::Loop& loop, Recorder& recorder, WorkerSettings settings, std::uint64_t seed, bool cold)
-    : loop_{loop}, recorder_{recorder}, s_{std::move(settings)}, chance_{static_cast<std::uint32_t>(seed)} {
+    : loop_{loop}, recorder_{recorder}, s_{std::move(settings)}, random_{static_cast<std::uint32_t>(seed)} {
   start();
   if (!cold) warm_at_ = loop_.now();
 }
@@ -30,20 +30,22 @@
 }
 
 void Worker::start() {
-  up_ = true, fallen_ = false, trouble_.reset();
-  started_ = accounted_ = loop_.now(), warm_at_ = started_ + s_.cold_for;
-  boot_ = fmt::format("{}-{}-{}", s_.name, ++boots_, (started_ - Instant{}).micros());
-  counts_.clear(), brought_.clear(), busy_log_.clear(), busy_ = 0;
+  up_ = true, overloaded_ = false, fault_.reset();
+  started_ = busy_updated_ = loop_.now(), warm_at_ = started_ + s_.cold_for;
+  boot_id_ = fmt::format("{}-{}-{}", s_.name, ++boot_count_, (started_ - Instant{}).micros());
+  counts_.clear(), arrivals_.clear(), busy_log_.clear(), busy_seconds_ = 0;
   listen();
-  recorder_.write(
-      loop_.now(), "start",
-      {{"worker", s_.name}, {"at", s_.at.text()}, {"cold", boots_ > 1}, {"cores", s_.cores * s_.speed}});
+  recorder_.write(loop_.now(), "start",
+                  {{"worker", s_.name},
+                   {"at", s_.endpoint.text()},
+                   {"cold", boot_count_ > 1},
+                   {"cores", s_.cores * s_.speed}});
 }
 
 void Worker::listen() {
-  listener_ = std::make_unique<net::Listener>(loop_, s_.at, [this](net::Fd fd, const Endpoint& from) {
+  listener_ = std::make_unique<net::Listener>(loop_, s_.endpoint, [this](net::Fd fd, const Endpoint& from) {
     const std::uint64_t number = ++number_;
-    auto peer = std::make_shared<Peer>();
+    auto peer = std::make_shared<ClientConnection>();
     peers_[number] = peer;
     peer->connection = net::Connection::make(
         loop_, std::move(fd), {64U << 10U, 1U << 20U, Span::seconds(60)},
@@ -65,69 +67,71 @@
 void Worker::crash() {
   if (!up_) return;
   recorder_.write(loop_.now(), "down", {{"worker", s_.name}});
-  account();
-  up_ = false, trouble_.reset();
+  update_busy_time();
+  up_ = false, fault_.reset();
   listener_.reset();
   for (auto& [number, timer] : timers_) loop_.cancel(timer);
   timers_.clear(), running_.clear(), queue_.clear();
   for (const auto& [number, peer] : std::exchange(peers_, {})) peer->connection->abort();
 }
 
-void Worker::trouble(TroubleKind kind, double size) {
+void Worker::inject_fault(InjectedFaultKind kind, double size) {
   if (!up_) return;
-  trouble_ = kind, trouble_size_ = size;
-  if (kind == TroubleKind::drain) drained_ = loop_.now();
-  if (kind == TroubleKind::hang || kind == TroubleKind::silent) {
+  fault_ = kind, fault_size_ = size;
+  if (kind == InjectedFaultKind::drain) drain_started_ = loop_.now();
+  if (kind == InjectedFaultKind::hang || kind == InjectedFaultKind::silent) {
     for (auto& [number, timer] : timers_) loop_.cancel(timer);
     timers_.clear();
   }
 }
 
 void Worker::recover() {
-  if (!up_ || !trouble_) return;
-  const TroubleKind was = *trouble_;
-  trouble_.reset();
-  if (was == TroubleKind::silent) {
+  if (!up_ || !fault_) return;
+  const InjectedFaultKind was = *fault_;
+  fault_.reset();
+  if (was == InjectedFaultKind::silent) {
     crash();
     start();
-  } else if (was == TroubleKind::hang) {
-    // What hung is lost: its callers have left, and their connections with it.
-    account();
+  } else if (was == InjectedFaultKind::hang) {
+    // Invocations that hung are lost, since their callers have timed out and closed their connections.
+    update_busy_time();
     for (const auto& [number, job] : std::exchange(running_, {}))
       if (const auto c = job.connection.lock()) c->abort();
     queue_.clear();
     std::erase_if(peers_, [](const auto& row) { return !row.second->connection->open(); });
   }
-  pump();
+  start_queued();
 }
 
-double Worker::warmth() const {
+double Worker::capacity_factor() const {
   if (loop_.now() >= warm_at_) return 1;
   return s_.cold_from + (1 - s_.cold_from) * (loop_.now() - started_).seconds() / s_.cold_for.seconds();
 }
 
-// Rule 4: more than the multiple of what it can do, for long enough, and it falls over and stays down.
-void Worker::brought(double work) {
+// A cold worker that receives more than `tip_multiple` times its capacity within `tip_after` crashes and does
+// not restart.
+void Worker::check_overload(double work) {
   const Instant now = loop_.now();
-  brought_.emplace_back(now, work);
-  while (now - brought_.front().first > s_.tip_after) brought_.pop_front();
-  if (warmth() >= 1) return;
+  arrivals_.emplace_back(now, work);
+  while (now - arrivals_.front().first > s_.tip_after) arrivals_.pop_front();
+  if (capacity_factor() >= 1) return;
   double sum = 0;
-  for (const auto& [at, w] : brought_) sum += w;
-  if (sum <= s_.tip_multiple * warmth() * s_.cores * s_.speed * s_.tip_after.seconds()) return;
+  for (const auto& [at, w] : arrivals_) sum += w;
+  if (sum <= s_.tip_multiple * capacity_factor() * s_.cores * s_.speed * s_.tip_after.seconds()) return;
   recorder_.write(now, "fell", {{"worker", s_.name}});
-  fallen_ = true;
+  overloaded_ = true;
   loop_.soon([this] { crash(); });
 }
 
 void Worker::request(const std::shared_ptr<net::Connection>& connection, const Address& from,
                      const net::Request& request) {
-  if (!up_ || trouble_ == TroubleKind::silent) return;
+  if (!up_ || fault_ == InjectedFaultKind::silent) return;
   if (request.target == "/load") {
-    const auto reply = net::write(net::Response{200, {{"Content-Type", "application/json"}}, load(), true});
-    // What is slow to tell, tells of the past.
-    if (trouble_ == TroubleKind::late_reports) {
-      loop_.after(Span::seconds(trouble_size_), [weak = std::weak_ptr{connection}, reply] {
+    const auto reply =
+        net::write(net::Response{200, {{"Content-Type", "application/json"}}, load_report(), true});
+    // A delayed report describes the state at the time of the request.
+    if (fault_ == InjectedFaultKind::late_reports) {
+      loop_.after(Span::seconds(fault_size_), [weak = std::weak_ptr{connection}, reply] {
         if (const auto c = weak.lock(); c && c->open()) c->send(reply);
       });
       return;
@@ -136,10 +140,10 @@
     return;
   }
   if (request.target == "/health") {
-    if (trouble_ == TroubleKind::hang) return;
-    Job job{connection, -1, "", {}, kHealthWork, loop_.now()};
+    if (fault_ == InjectedFaultKind::hang) return;
+    Job job{connection, -1, "", {}, kHealthCheckWorkSeconds, loop_.now()};
     queue_.push_back(std::move(job));
-    return pump();
+    return start_queued();
   }
   for (std::size_t k = 0; k < s_.operations.size(); ++k)
     if (request.target == "/invoke/" + s_.operations[k].name)
@@ -150,13 +154,13 @@
 void Worker::invoke(const std::shared_ptr<net::Connection>& connection, const Address& from, int operation,
                     const net::Request& request) {
   Job job{connection, operation, request.body, {masked(from, 24), 24}, 0, loop_.now()};
-  const auto& op = s_.operations[static_cast<std::size_t>(operation)];
-  // Half to twice the mean, as most real work spreads.
-  job.work = op.work.seconds() * std::uniform_real_distribution<>{0.6, 1.4}(chance_);
+  const auto& settings = s_.operations[static_cast<std::size_t>(operation)];
+  // Uniform between 0.6 and 1.4 times the mean.
+  job.work = settings.work.seconds() * std::uniform_real_distribution<>{0.6, 1.4}(random_);
   Counts& counts = counts_[{operation, job.source}];
-  const bool draining = trouble_ == TroubleKind::drain && loop_.now() - drained_ > s_.drain_grace;
-  const bool refused =
-      draining || trouble_ == TroubleKind::refuse || queue_.size() >= static_cast<std::size_t>(s_.queue_most);
+  const bool draining = fault_ == InjectedFaultKind::drain && loop_.now() - drain_started_ > s_.drain_grace;
+  const bool refused = draining || fault_ == InjectedFaultKind::refuse ||
+                       queue_.size() >= static_cast<std::size_t>(s_.queue_most);
   recorder_.write(
       loop_.now(), "arrived",
       {{"worker", s_.name}, {"id", job.id}, {"work", refused ? 0 : job.work}, {"refused", refused}});
@@ -164,51 +168,51 @@
     ++counts.refused;
     return answer(job, 503, true);
   }
-  ++counts.taken;
-  if (trouble_ == TroubleKind::errors && std::uniform_real_distribution<>{}(chance_) < trouble_size_) {
+  ++counts.accepted;
+  if (fault_ == InjectedFaultKind::errors && std::uniform_real_distribution<>{}(random_) < fault_size_) {
     ++counts.errored;
     return answer(job, 500);
   }
-  brought(job.work);
+  check_overload(job.work);
   queue_.push_back(std::move(job));
-  pump();
+  start_queued();
 }
 
-void Worker::account() {
+void Worker::update_busy_time() {
   const Instant now = loop_.now();
-  busy_ += static_cast<double>(running_.size()) * (now - accounted_).seconds();
-  accounted_ = now;
-  busy_log_.emplace_back(now, busy_);
-  while (busy_log_.size() > 2 && now - busy_log_[1].first >= kLoadOver) busy_log_.pop_front();
+  busy_seconds_ += static_cast<double>(running_.size()) * (now - busy_updated_).seconds();
+  busy_updated_ = now;
+  busy_log_.emplace_back(now, busy_seconds_);
+  while (busy_log_.size() > 2 && now - busy_log_[1].first >= kUtilizationWindow) busy_log_.pop_front();
 }
 
-void Worker::pump() {
-  account();
-  if (trouble_ == TroubleKind::hang || trouble_ == TroubleKind::silent) return;
+void Worker::start_queued() {
+  update_busy_time();
+  if (fault_ == InjectedFaultKind::hang || fault_ == InjectedFaultKind::silent) return;
   while (!queue_.empty() && static_cast<double>(running_.size()) < s_.cores) {
     Job job = std::move(queue_.front());
     queue_.pop_front();
     const auto connection = job.connection.lock();
     if (!connection || !connection->open()) {
-      // Its caller has left before it began: dropped, and it never ran.
+      // The caller disconnected while it was queued: dropped without running.
       if (job.operation >= 0) ++counts_[{job.operation, job.source}].errored;
       continue;
     }
     const std::uint64_t number = ++number_;
-    double takes = job.work / (s_.speed * warmth());
-    if (trouble_ == TroubleKind::slow || trouble_ == TroubleKind::ageing) takes *= trouble_size_;
+    double duration = job.work / (s_.speed * capacity_factor());
+    if (fault_ == InjectedFaultKind::slow || fault_ == InjectedFaultKind::ageing) duration *= fault_size_;
     if (job.operation >= 0)
       recorder_.write(loop_.now(), "began",
                       {{"worker", s_.name},
                        {"id", job.id},
                        {"operation", s_.operations[static_cast<std::size_t>(job.operation)].name}});
     running_[number] = std::move(job);
-    timers_[number] = loop_.after(Span::seconds(takes), [this, number] { finish(number); });
+    timers_[number] = loop_.after(Span::seconds(duration), [this, number] { finish(number); });
   }
 }
 
 void Worker::finish(std::uint64_t number) {
-  account();
+  update_busy_time();
   const auto it = running_.find(number);
   if (it == running_.end()) return;
   const Job job = std::move(it->second);
@@ -216,10 +220,10 @@
   if (job.operation >= 0) {
     Counts& counts = counts_[{job.operation, job.source}];
     ++counts.succeeded;
-    counts.latency += (loop_.now() - job.came).seconds();
+    counts.latency += (loop_.now() - job.arrived_at).seconds();
   }
   answer(job, 200);
-  pump();
+  start_queued();
 }
 
 void Worker::answer(const Job& job, unsigned status, bool never_ran) {
@@ -230,23 +234,23 @@
   connection->send(net::write(response));
 }
 
-std::string Worker::load() {
-  account();
+std::string Worker::load_report() {
+  update_busy_time();
   const auto& [from, was] = busy_log_.front();
-  const double over = (loop_.now() - from).seconds();
-  const double util =
-      over > 0.05 ? (busy_ - was) / over / s_.cores : static_cast<double>(running_.size()) / s_.cores;
+  const double window = (loop_.now() - from).seconds();
+  const double util = window > 0.05 ? (busy_seconds_ - was) / window / s_.cores
+                                    : static_cast<double>(running_.size()) / s_.cores;
   nlohmann::json out{
-      {"boot", boot_},
+      {"boot", boot_id_},
       {"uptime_s", (loop_.now() - started_).seconds() + (warm_at_ == started_ ? 1e6 : 0)},
-      {"state", trouble_ == TroubleKind::drain ? "draining" : "ready"},
-      {"util", std::min(1.0, util * (trouble_ == TroubleKind::false_reports ? trouble_size_ : 1))},
+      {"state", fault_ == InjectedFaultKind::drain ? "draining" : "ready"},
+      {"util", std::min(1.0, util * (fault_ == InjectedFaultKind::false_reports ? fault_size_ : 1))},
       {"queue", queue_.size()},
       {"counts", nlohmann::json::array()}};
   for (const auto& [key, c] : counts_)
     out["counts"].push_back({{"operation", s_.operations[static_cast<std::size_t>(key.first)].name},
                              {"source", key.second.text()},
-                             {"taken", c.taken},
+                             {"taken", c.accepted},
                              {"succeeded", c.succeeded},
                              {"errored", c.errored},
                              {"refused", c.refused},
--- a/tests/days/cut-kill.hcl
+++ b/tests/days/cut-kill.hcl
@@ -1,4 +1,4 @@
-# Orders are cut at 50 seeded byte offsets, and each time whoever sends them is killed.
+# Commands are cut off at 50 seeded byte offsets, and each time their sender is killed.
 day {
   name   = "cut-kill"
   length = "58s"
--- a/tests/days/cut-pause.hcl
+++ b/tests/days/cut-pause.hcl
@@ -1,5 +1,5 @@
-# Orders are cut at 50 seeded byte offsets; each time the sender stands still till another leads, and the rest of its
-# orders arrives after the other one's.
+# Commands are cut off at 50 seeded byte offsets; each time the sender is suspended until another controller leads, and
+# the rest of its commands arrives after the new leader's.
 day {
   name   = "cut-pause"
   length = "66s"
--- a/tests/days/restarts.hcl
+++ b/tests/days/restarts.hcl
@@ -1,4 +1,4 @@
-# A coordinator is killed ten times in 24 s, with its store, while workers crash, drain and err; every rule is kept.
+# A coordinator with a store is killed ten times in 24 s while workers crash, drain and fail; every rule is kept.
 day {
   name   = "restarts"
   keeps  = true
--- a/tests/days/shared.hcl
+++ b/tests/days/shared.hcl
@@ -1,4 +1,4 @@
-# Three controllers share the forwarders; one is killed while orders go out, one stands still and wakes.
+# Three controllers share the forwarders; one is killed while it sends commands, one is suspended and resumed.
 day {
   name   = "shared"
   length = "14s"
--- a/tests/days/short.hcl
+++ b/tests/days/short.hcl
@@ -1,4 +1,4 @@
-# Month end in small: a crash, a drain, a hang, a killed coordinator; every rule is kept.
+# Month end on a small fleet: a crash, a drain, a hang and a killed coordinator; every rule is kept.
 day {
   name   = "short"
   length = "16s"
--- a/tests/days/unsafe-backlog.hcl
+++ b/tests/days/unsafe-backlog.hcl
@@ -1,4 +1,4 @@
-# The auditor allows fewer lines than the coordinators were told: what they send is found.
+# The auditor's backlog limit is lower than the coordinators' setting, so their messages must violate it.
 day {
   name   = "unsafe-backlog"
   length = "5s"
--- a/tests/days/unsafe-cold.hcl
+++ b/tests/days/unsafe-cold.hcl
@@ -1,4 +1,4 @@
-# Fixed weights: nothing keeps a full share from workers that come back cold.
+# Weights are fixed, so workers that return cold receive their full share at once.
 day {
   name   = "unsafe-cold"
   length = "9s"
--- a/tests/days/unsafe-drain.hcl
+++ b/tests/days/unsafe-drain.hcl
@@ -1,4 +1,4 @@
-# The coordinators are never told of a drain that the roster knew of, and answers go on listing it.
+# The roster never announces a drain to the coordinators, so answers keep listing the draining worker.
 day {
   name   = "unsafe-drain"
   length = "9s"
--- a/tests/days/unsafe-fence.hcl
+++ b/tests/days/unsafe-fence.hcl
@@ -1,4 +1,4 @@
-# The same with fences off: the late rest of the orders is obeyed, and the auditor must find it.
+# As cut-pause, with fencing off: forwarders accept late commands of a lower term, and the auditor must find it.
 day {
   name   = "unsafe-fence"
   length = "16s"
--- a/tests/days/unsafe-repeats.hcl
+++ b/tests/days/unsafe-repeats.hcl
@@ -1,4 +1,4 @@
-# Clients repeat whatever failed: a place-order that hung runs again elsewhere.
+# Clients retry every failure: a place-order that hung runs again on another worker.
 day {
   name   = "unsafe-repeats"
   length = "7s"
--- a/tests/days/unsafe-silence.hcl
+++ b/tests/days/unsafe-silence.hcl
@@ -1,4 +1,4 @@
-# Both coordinators are gone for longer than a client may be left without an answer.
+# Both coordinators are down for longer than a client may be left without an answer.
 day {
   name   = "unsafe-silence"
   length = "9s"
--- a/tests/days/zone-loss.hcl
+++ b/tests/days/zone-loss.hcl
@@ -1,4 +1,4 @@
-# A zone of three goes at month end and comes back cold, with flows by tiers; every rule is kept.
+# One of three zones fails at month end and returns cold, with spillover by tiers; every rule is kept.
 day {
   name   = "zone-loss"
   length = "30s"
--- a/tests/lab/windows_test.cpp
+++ b/tests/lab/windows_test.cpp
@@ -31,8 +31,8 @@
   return day;
 }
 
-script::Trouble crash(double at, double lasts) {
-  script::Trouble t;
+script::InjectedFault crash(double at, double lasts) {
+  script::InjectedFault t;
   t.name = "crash", t.zone = "ubungo", t.at = s(at), t.lasts = s(lasts), t.count = 3;
   return t;
 }
--- a/tests/lab/zone_drain_test.cpp
+++ b/tests/lab/zone_drain_test.cpp
@@ -27,10 +27,11 @@
   day.tip_after = Span::seconds(2);
   day.lease = Span::seconds(1), day.messages_window = Span::seconds(10), day.levels = true,
   day.backlog = day.lines_per_second = 20000;
-  script::Person person;
-  person.at = Span::seconds(10);
-  person.order.action = coordinator::OperatorCommand::Action::drain_zone, person.order.name = "ubungo";
-  day.persons.push_back(person);
+  script::ScriptedCommand scripted_command;
+  scripted_command.at = Span::seconds(10);
+  scripted_command.command.action = coordinator::OperatorCommand::Action::drain_zone,
+  scripted_command.command.name = "ubungo";
+  day.operator_commands.push_back(scripted_command);
   const auto played = play(day, {{"as it is", "", {}}}, 2, 1, {}, [](double) {});
   const Tally& all = played[0].whole;
   EXPECT_GT(static_cast<double>(all.limited), 0.1 * static_cast<double>(all.invocations));
--- a/tests/runtime_api/driver_test.cpp
+++ b/tests/runtime_api/driver_test.cpp
@@ -17,7 +17,7 @@
 using coordinator::DesiredLine;
 using coordinator::DesiredTable;
 using standins::Forwarder;
-using standins::TroubleKind;
+using standins::InjectedFaultKind;
 
 std::shared_ptr<DesiredTable> table(std::uint64_t version, std::vector<double> weights) {
   auto t = std::make_shared<DesiredTable>();
@@ -227,9 +227,9 @@
   s.run(0.1);
   s.deliver(table(1, {1, 1, 1, 1, 1, 1, 1, 1}));
   s.run(0.1);
-  s.forwarders[0]->fault(TroubleKind::forwarder_half);
+  s.forwarders[0]->inject_fault(InjectedFaultKind::forwarder_half);
   s.run(0.6);
-  s.forwarders[0]->fault(std::nullopt);
+  s.forwarders[0]->inject_fault(std::nullopt);
   s.run(0.8);
   for (int k = 0; k < 8; ++k) EXPECT_EQ(s.weight(0, "w" + std::to_string(k)), 256);
   EXPECT_GE(s.left + s.events["forwarder_drifted"], 1);
@@ -238,12 +238,12 @@
 TEST(Driver, RefusedCommandsAreSaidAndTriedAgain) {
   Stage s{1};
   s.run(0.1);
-  s.forwarders[0]->fault(TroubleKind::forwarder_refuse);
+  s.forwarders[0]->inject_fault(InjectedFaultKind::forwarder_refuse);
   s.deliver(table(1, {1, 1}));
   s.run(0.6);
   EXPECT_GE(s.events["command_refused"], 2);
   EXPECT_TRUE(s.holds.empty()) << "in force only when the forwarder says so";
-  s.forwarders[0]->fault(std::nullopt);
+  s.forwarders[0]->inject_fault(std::nullopt);
   s.run(0.6);
   EXPECT_EQ((s.holds[ProxyId{30000}]), 1U);
 }
@@ -251,7 +251,7 @@
 TEST(Driver, OneThatDoesNotAnswerIsGivenUpAndDelaysNobody) {
   Stage s{20};
   s.run(0.2);
-  s.forwarders[3]->fault(TroubleKind::forwarder_slow);
+  s.forwarders[3]->inject_fault(InjectedFaultKind::forwarder_slow);
   s.deliver(table(1, {1, 1, 1}));
   s.run(0.2);
   EXPECT_EQ(s.holds.size(), 19U);
@@ -272,7 +272,7 @@
     s.peer->send("POST /invoke/read HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\n1");
   });
   s.run(0.1);
-  s.forwarders[0]->fault(TroubleKind::forwarder_lie);
+  s.forwarders[0]->inject_fault(InjectedFaultKind::forwarder_lie);
   s.run(0.2);
   EXPECT_GE(s.events["report_doubted"], 1);
 }
