--- a/bench/cluster_bench.cpp
+++ b/bench/cluster_bench.cpp
@@ -1,6 +1,6 @@
-// `gorsemount-cluster-bench`: what membership and leases cost between 3 to 50 controllers: bytes a second as
-// sealed on the wire, processor time, and how long a kill takes to be known to all. Virtual clock; no faults
-// but the kill.
+// `gorsemount-cluster-bench`: the cost of membership and leases among 3 to 50 controllers: bytes a second
+// of sealed frames on the wire, processor time, and the time until all members detect a killed one. Virtual
+// clock; the kill is the only fault.
 #include <chrono>
 #include <cstdio>
 #include <deque>
@@ -29,16 +29,16 @@
     nodes[k] = std::make_unique<Cluster>(s, Instant{});
     frames.push_back(std::make_unique<FrameCodec>(id(k), 1, std::vector<Key>{key}));
   }
-  std::deque<std::pair<double, std::string>> underway;
+  std::deque<std::pair<double, std::string>> in_flight;
   std::uint64_t bytes = 0;
-  double cpu = 0, known = 0;
-  const double length = 60, from = 10, kill = 40;
+  double cpu = 0, detection_time = 0;
+  const double length = 60, measure_from = 10, kill = 40;
   std::vector<MemberId> to;
   for (double now = 0; now < length; now += 0.005) {
     const auto began = std::chrono::steady_clock::now();
-    while (!underway.empty() && underway.front().first <= now) {
-      const std::string frame = std::move(underway.front().second);
-      underway.pop_front();
+    while (!in_flight.empty() && in_flight.front().first <= now) {
+      const std::string frame = std::move(in_flight.front().second);
+      in_flight.pop_front();
       const std::size_t k = static_cast<std::size_t>(static_cast<unsigned char>(frame[3])) << 8U |
                             static_cast<unsigned char>(frame[4]);
       if (!nodes[k]) continue;
@@ -48,26 +48,27 @@
     for (std::size_t k = 0; k < n; ++k) {
       if (!nodes[k] || nodes[k]->wake_at() > Instant::at_seconds(now)) continue;
       for (const auto& m : nodes[k]->tick(Instant::at_seconds(now))) {
-        underway.emplace_back(now + 0.001, frames[k]->seal(m));
-        if (now >= from && now < kill) bytes += underway.back().second.size();
+        in_flight.emplace_back(now + 0.001, frames[k]->seal(m));
+        if (now >= measure_from && now < kill) bytes += in_flight.back().second.size();
       }
     }
-    if (now >= from && now < kill)
+    if (now >= measure_from && now < kill)
       cpu += std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
     if (nodes[1] && now >= kill) nodes[1].reset();
-    if (!nodes[1] && known == 0) {
+    if (!nodes[1] && detection_time == 0) {
       bool all = true;
       for (std::size_t k = 0; k < n; ++k)
         all = all && (!nodes[k] || nodes[k]->state_of(id(1)) == MemberState::gone);
-      if (all) known = now - kill;
+      if (all) detection_time = now - kill;
     }
   }
-  const double over = kill - from;
+  const double duration = kill - measure_from;
   std::printf(
       "%3zu members: %9.0f bytes/s in all, %7.0f a member, %6.3f ms of processor a second and member, a kill "
       "known to all after %5.2f s\n",
-      n, static_cast<double>(bytes) / over, static_cast<double>(bytes) / over / static_cast<double>(n),
-      1000 * cpu / over / static_cast<double>(n), known);
+      n, static_cast<double>(bytes) / duration,
+      static_cast<double>(bytes) / duration / static_cast<double>(n),
+      1000 * cpu / duration / static_cast<double>(n), detection_time);
 }
 
 }  // namespace
--- a/bench/program_bench.cpp
+++ b/bench/program_bench.cpp
@@ -1,6 +1,6 @@
-// Measures the running program's parts, as ratios within one run: answers a second beside a bare UDP echo
-// with the same batching, latency at half of that load, the pause that a change of tables puts on answers,
-// and the core's step for growing fleets. Bounded: about 25 s. Loopback only.
+// Benchmarks parts of the program, as ratios within one run: DNS answers a second relative to a plain UDP
+// echo with the same batching, latency at half of that load, the pause in answering caused by a table change,
+// and the cost of coordinator steps by fleet size. Takes about 25 s, on loopback only.
 #include <netinet/in.h>
 #include <pthread.h>
 #include <sys/resource.h>
@@ -56,10 +56,11 @@
   return f;
 }
 
-// A core with n workers that report once a second; stepped as the loop would: every 4 ms, or when it asks.
-class Rig {
+// A coordinator core with n workers that report once a second. It is stepped like the event loop does: every
+// 4 ms, or at its requested wakeup.
+class CoreBench {
  public:
-  explicit Rig(std::size_t n) : s{settings()}, core{s, coordinator::policy_decision_maker(s)} {
+  explicit CoreBench(std::size_t n) : s{settings()}, core{s, coordinator::policy_decision_maker(s)} {
     for (std::size_t k = 0; k < n; ++k) {
       coordinator::RosterEntry e;
       e.name = "w" + std::to_string(k), e.zone = ZoneId{static_cast<std::uint16_t>(k % 3)};
@@ -76,12 +77,12 @@
     if (e.published) published = e.published;
     wake = e.next_wakeup;
   }
-  void play(double seconds) {
+  void run_for(double seconds) {
     const std::size_t n = roster.size();
     for (const Instant end = now + Span::seconds(seconds); now < end;) {
       const Instant next = now + Span::seconds(0.004);
       std::vector<Input> inputs;
-      // Each worker's turn comes once a second, evenly spread.
+      // Spreads the workers' reports evenly over each second.
       const std::size_t from = turn % 250 * n / 250, to = (turn % 250 + 1) * n / 250;
       for (std::size_t k = from; k < to; ++k) {
         counts[k] += 5;
@@ -106,7 +107,7 @@
       if (!inputs.empty()) step(inputs);
       while (wake <= now) step({});
       const auto took = std::chrono::steady_clock::now() - began;
-      spent += took, longest = std::max(longest, took);
+      step_time += took, longest_step = std::max(longest_step, took);
     }
   }
   std::function<void(const std::vector<Input>&, const coordinator::Effects&)> stepped;
@@ -117,10 +118,10 @@
   Instant now = Instant::at_seconds(1000), wake;
   std::shared_ptr<const coordinator::PublishedState> published;
   std::size_t turn = 0;
-  std::chrono::steady_clock::duration spent{}, longest{};
+  std::chrono::steady_clock::duration step_time{}, longest_step{};
 };
 
-std::string question(const std::string& name, std::uint16_t type) {
+std::string encode_query(const std::string& name, std::uint16_t type) {
   std::string out{"\0\0\1\0\0\1\0\0\0\0\0\1", 12};
   out += dns::to_wire(name);
   out += std::string{static_cast<char>(type >> 8U), static_cast<char>(type), 0, 1};
@@ -139,11 +140,11 @@
   std::vector<double> latencies;  // s, sorted
 };
 
-// One generator: keeps `window` questions out, or sends `rate` a second; counts what comes back.
+// One load generator: keeps `window` queries in flight, or sends `rate` a second, and counts the responses.
 Load generate(const Endpoint& to, const std::string& text, std::size_t window, double rate, double seconds,
-              int salt) {
+              int address_suffix) {
   Load load;
-  const net::Fd fd = net::udp_socket({*Address::parse("127.1.0." + std::to_string(salt)), 0});
+  const net::Fd fd = net::udp_socket({*Address::parse("127.1.0." + std::to_string(address_suffix)), 0});
   sockaddr_in a{};
   a.sin_family = AF_INET, a.sin_port = htons(to.port);
   std::memcpy(&a.sin_addr, to.address.bytes.data(), 4);
@@ -152,11 +153,11 @@
   std::vector<std::string> out(kBatch, text);
   std::vector<std::array<char, 2048>> in(kBatch);
   std::array<iovec, kBatch> out_parts, in_parts;
-  std::array<mmsghdr, kBatch> out_heads{}, in_heads{};
+  std::array<mmsghdr, kBatch> out_headers{}, in_headers{};
   for (unsigned k = 0; k < kBatch; ++k) {
     out_parts[k] = {out[k].data(), out[k].size()}, in_parts[k] = {in[k].data(), in[k].size()};
-    out_heads[k].msg_hdr.msg_iov = &out_parts[k], out_heads[k].msg_hdr.msg_iovlen = 1;
-    in_heads[k].msg_hdr.msg_iov = &in_parts[k], in_heads[k].msg_hdr.msg_iovlen = 1;
+    out_headers[k].msg_hdr.msg_iov = &out_parts[k], out_headers[k].msg_hdr.msg_iovlen = 1;
+    in_headers[k].msg_hdr.msg_iov = &in_parts[k], in_headers[k].msg_hdr.msg_iovlen = 1;
   }
   std::vector<Instant> sent_at(65536);
   std::uint16_t id = 0;
@@ -170,28 +171,28 @@
       sent_at[id++] = now;
     }
     if (due > 0) {
-      const int n = sendmmsg(fd.get(), out_heads.data(), static_cast<unsigned>(due), 0);
+      const int n = sendmmsg(fd.get(), out_headers.data(), static_cast<unsigned>(due), 0);
       sent += n > 0 ? static_cast<std::size_t>(n) : 0;
     }
-    const int n = recvmmsg(fd.get(), in_heads.data(), kBatch, MSG_DONTWAIT, nullptr);
-    const Instant back = net::monotonic_now();
+    const int n = recvmmsg(fd.get(), in_headers.data(), kBatch, MSG_DONTWAIT, nullptr);
+    const Instant received_at = net::monotonic_now();
     for (int k = 0; k < n; ++k) {
       ++got;
       const auto& b = in[static_cast<std::size_t>(k)];
       const auto which = static_cast<std::uint16_t>(static_cast<unsigned char>(b[0]) << 8U |
                                                     static_cast<unsigned char>(b[1]));
-      if (rate > 0) load.latencies.push_back((back - sent_at[which]).seconds());
+      if (rate > 0) load.latencies.push_back((received_at - sent_at[which]).seconds());
     }
-    // What was lost is not waited for.
+    // Lost queries no longer count as in flight.
     if (rate <= 0 && n <= 0 && sent - got >= window &&
-        (back - sent_at[static_cast<std::uint16_t>(id - 1)]).seconds() > 0.05)
+        (received_at - sent_at[static_cast<std::uint16_t>(id - 1)]).seconds() > 0.05)
       got = sent;
   }
   load.per_second = static_cast<double>(got) / seconds;
   return load;
 }
 
-Load load_of(const Endpoint& to, const std::string& text, double rate, double seconds) {
+Load run_load(const Endpoint& to, const std::string& text, double rate, double seconds) {
   Load sum;
   std::vector<Load> parts(2);
   std::vector<std::thread> threads;
@@ -208,20 +209,20 @@
   return sum;
 }
 
-double at(const std::vector<double>& sorted, double part) {
+double quantile(const std::vector<double>& sorted, double part) {
   return sorted.empty()
              ? 0
              : sorted[std::min(sorted.size() - 1,
                                static_cast<std::size_t>(part * static_cast<double>(sorted.size())))];
 }
 
-// A server on its own core; `each` runs there every 50 ms.
-class Served {
+// A UDP server on its own core; `each` runs on its thread every 50 ms.
+class UdpServerThread {
  public:
-  Served(Endpoint where, net::UdpServer::Answer answer, std::function<void()> each = {})
-      : thread_{[this, where, answer, each] {
+  UdpServerThread(Endpoint endpoint, net::UdpServer::Answer answer, std::function<void()> each = {})
+      : thread_{[this, endpoint, answer, each] {
           net::Loop loop;
-          net::UdpServer server{loop, where, answer};
+          net::UdpServer server{loop, endpoint, answer};
           std::function<void()> watch = [&] {
             if (stop_) return loop.stop();
             if (each) each();
@@ -234,7 +235,7 @@
     pin(thread_, 0);
     while (!ready_) std::this_thread::yield();
   }
-  ~Served() {
+  ~UdpServerThread() {
     stop_ = true;
     thread_.join();
   }
@@ -248,14 +249,14 @@
   return std::chrono::duration<double, std::milli>(d).count();
 }
 
-void answers() {
-  Rig rig{16};
-  rig.play(3);
-  dns::Front front{front_settings(rig.s), rig.core.group_map()};
-  front.publish(rig.published, rig.core.group_map());
-  const Endpoint where = *Endpoint::parse("127.0.0.1:17353");
-  const std::string srv = question("_place-order._tcp.refill.test", 33),
-                    address = question("place-order.refill.test", 1);
+void bench_answers() {
+  CoreBench bench{16};
+  bench.run_for(3);
+  dns::Front front{front_settings(bench.s), bench.core.group_map()};
+  front.publish(bench.published, bench.core.group_map());
+  const Endpoint endpoint = *Endpoint::parse("127.0.0.1:17353");
+  const std::string srv = encode_query("_place-order._tcp.refill.test", 33),
+                    address = encode_query("place-order.refill.test", 1);
   const auto serve = [&](std::span<const std::uint8_t> in, const Endpoint& from,
                          std::span<std::uint8_t> out) {
     return front.answer(in, from.address, true, out).size;
@@ -270,85 +271,86 @@
   std::vector<double> echoes, srvs, addresses;
   for (int round = 0; round < 3; ++round) {
     {
-      const Served s{where, echo};
-      echoes.push_back(load_of(where, srv, 0, 1).per_second);
+      const UdpServerThread s{endpoint, echo};
+      echoes.push_back(run_load(endpoint, srv, 0, 1).per_second);
     }
-    const Served s{where, serve};
-    srvs.push_back(load_of(where, srv, 0, 1).per_second);
-    addresses.push_back(load_of(where, address, 0, 1).per_second);
+    const UdpServerThread s{endpoint, serve};
+    srvs.push_back(run_load(endpoint, srv, 0, 1).per_second);
+    addresses.push_back(run_load(endpoint, address, 0, 1).per_second);
   }
   for (auto* v : {&echoes, &srvs, &addresses}) std::sort(v->begin(), v->end());
   std::printf("  echo %.0f   SRV of 16 lines %.0f (%.2f of echo)   A %.0f (%.2f of echo)\n", echoes[1],
               srvs[1], srvs[1] / echoes[1], addresses[1], addresses[1] / echoes[1]);
   {
-    const Served s{where, serve};
-    const auto half = load_of(where, srv, srvs[1] / 2, 2);
+    const UdpServerThread s{endpoint, serve};
+    const auto half = run_load(endpoint, srv, srvs[1] / 2, 2);
     std::printf("SRV at half of that load: p50 %.3f ms, p99 %.3f ms, p99.9 %.3f ms\n",
-                1e3 * at(half.latencies, 0.5), 1e3 * at(half.latencies, 0.99),
-                1e3 * at(half.latencies, 0.999));
+                1e3 * quantile(half.latencies, 0.5), 1e3 * quantile(half.latencies, 0.99),
+                1e3 * quantile(half.latencies, 0.999));
   }
 }
 
-// A fleet of 600 whose every weight the roster changes every 50 ms, while answers go on: the module orders
-// every line anew. The pause is the core's step with the publication behind it.
-void changes() {
-  Rig rig{600};
-  rig.play(3);
-  dns::Front front{front_settings(rig.s), rig.core.group_map()};
-  front.publish(rig.published, rig.core.group_map());
+// The roster changes all weights of a fleet of 600 every 50 ms while queries are answered, so the policy
+// orders every line again. The pause is the core's step and the publication that follows it.
+void bench_changes() {
+  CoreBench bench{600};
+  bench.run_for(3);
+  dns::Front front{front_settings(bench.s), bench.core.group_map()};
+  front.publish(bench.published, bench.core.group_map());
   std::vector<double> steps, pauses;
-  std::uint64_t orders = rig.core.counters().orders;
+  std::uint64_t orders = bench.core.counters().orders;
   const auto change = [&] {
-    for (auto& entry : rig.roster) entry.weight *= 1.01;
-    rig.now = rig.now + Span::seconds(1);
-    const Input heard = coordinator::RosterUpdate{rig.roster};
+    for (auto& entry : bench.roster) entry.weight *= 1.01;
+    bench.now = bench.now + Span::seconds(1);
+    const Input heard = coordinator::RosterUpdate{bench.roster};
     const auto began = std::chrono::steady_clock::now();
-    rig.step({heard});
+    bench.step({heard});
     const auto stepped = std::chrono::steady_clock::now();
-    front.publish(rig.published, rig.core.group_map());
+    front.publish(bench.published, bench.core.group_map());
     steps.push_back(millis(stepped - began));
     pauses.push_back(millis(std::chrono::steady_clock::now() - began));
-    // The channel's messages arrive a little later, each a version of its own.
-    for (int k = 0; k < 3; ++k) rig.now = rig.now + Span::seconds(0.2), rig.step({});
-    front.publish(rig.published, rig.core.group_map());
+    // The channel's messages arrive slightly later, each publishing another version.
+    for (int k = 0; k < 3; ++k) bench.now = bench.now + Span::seconds(0.2), bench.step({});
+    front.publish(bench.published, bench.core.group_map());
   };
-  const Endpoint where = *Endpoint::parse("127.0.0.1:17354");
-  const std::string srv = question("_place-order._tcp.refill.test", 33);
+  const Endpoint endpoint = *Endpoint::parse("127.0.0.1:17354");
+  const std::string srv = encode_query("_place-order._tcp.refill.test", 33);
   Load load;
   {
-    const Served s{where,
-                   [&](std::span<const std::uint8_t> in, const Endpoint& from, std::span<std::uint8_t> out) {
-                     return front.answer(in, from.address, true, out).size;
-                   },
-                   change};
-    load = load_of(where, srv, 20000, 2);
+    const UdpServerThread s{
+        endpoint,
+        [&](std::span<const std::uint8_t> in, const Endpoint& from, std::span<std::uint8_t> out) {
+          return front.answer(in, from.address, true, out).size;
+        },
+        change};
+    load = run_load(endpoint, srv, 20000, 2);
   }
   std::sort(pauses.begin(), pauses.end()), std::sort(steps.begin(), steps.end());
-  orders = (rig.core.counters().orders - orders) / pauses.size();
+  orders = (bench.core.counters().orders - orders) / pauses.size();
   std::printf(
       "A change of 600 lines (%llu orders) every 50 ms: pause p50 %.3f ms (the step %.3f), worst %.3f ms of "
       "%zu; answers "
       "meanwhile p50 %.3f ms, p99.9 %.3f ms\n",
-      static_cast<unsigned long long>(orders), at(pauses, 0.5), at(steps, 0.5), pauses.back(), pauses.size(),
-      1e3 * at(load.latencies, 0.5), 1e3 * at(load.latencies, 0.999));
+      static_cast<unsigned long long>(orders), quantile(pauses, 0.5), quantile(steps, 0.5), pauses.back(),
+      pauses.size(), 1e3 * quantile(load.latencies, 0.5), 1e3 * quantile(load.latencies, 0.999));
 }
 
-// Answers beside the steps of a fleet of 300, with each step handed to a recorder and without.
-void recording() {
+// Answers queries while the core of a fleet of 300 runs, with and without recording each step.
+void bench_recording() {
   const auto folder = std::filesystem::temp_directory_path() / "gorsemount-bench-record";
   std::filesystem::create_directories(folder);
-  const Endpoint where = *Endpoint::parse("127.0.0.1:17356");
-  const std::string srv = question("_place-order._tcp.refill.test", 33);
+  const Endpoint endpoint = *Endpoint::parse("127.0.0.1:17356");
+  const std::string srv = encode_query("_place-order._tcp.refill.test", 33);
   std::array<std::vector<double>, 2> per_second;
-  std::array<double, 2> longest{};
+  std::array<double, 2> longest_step{};
   std::array<std::size_t, 2> turns{};
-  std::uint64_t steps = 0, bytes = 0, left_out = 0;
+  std::uint64_t steps = 0, bytes = 0, dropped = 0;
   for (int round = 0; round < 10; ++round) {
-    const bool with = (round + round / 2) % 2 == 1;  // neither always goes first
-    Rig rig{300};
-    rig.play(3);
-    dns::Front front{front_settings(rig.s), rig.core.group_map()};
-    front.publish(rig.published, rig.core.group_map());
+    const bool with = (round + round / 2) % 2 == 1;  // alternates which variant runs first
+    CoreBench bench{300};
+    bench.run_for(3);
+    dns::Front front{front_settings(bench.s), bench.core.group_map()};
+    front.publish(bench.published, bench.core.group_map());
     const auto file = (folder / "bench.h5").string();
     {
       background::Executor background{net::monotonic_now};
@@ -357,27 +359,28 @@
         recorder.emplace(
             background, record::RecorderSettings{file, 2ULL << 30U, 4096}, record::Header{}, Instant{},
             [](const std::string& why) { std::printf("  recording stopped: %s\n", why.c_str()); });
-        rig.stepped = [&](const std::vector<Input>& inputs, const coordinator::Effects& effects) {
-          recorder->step(rig.now, inputs, effects), ++steps;
+        bench.stepped = [&](const std::vector<Input>& inputs, const coordinator::Effects& effects) {
+          recorder->step(bench.now, inputs, effects), ++steps;
         };
       }
-      rig.longest = {}, rig.turn = 0;
-      const Served s{
-          where,
+      bench.longest_step = {}, bench.turn = 0;
+      const UdpServerThread s{
+          endpoint,
           [&](std::span<const std::uint8_t> in, const Endpoint& from, std::span<std::uint8_t> out) {
             return front.answer(in, from.address, true, out).size;
           },
           [&, last = net::monotonic_now()]() mutable {
-            // As many steps with as without: what the clock says, however late the loop is.
+            // The number of steps follows the clock, so both variants run equally many even if the loop is
+            // late.
             const Instant now = net::monotonic_now();
-            rig.play((now - std::exchange(last, now)).seconds());
-            front.publish(rig.published, rig.core.group_map());
+            bench.run_for((now - std::exchange(last, now)).seconds());
+            front.publish(bench.published, bench.core.group_map());
           }};
-      per_second[with ? 1 : 0].push_back(load_of(where, srv, 0, 2).per_second);
-      longest[with ? 1 : 0] = std::max(longest[with ? 1 : 0], millis(rig.longest)),
-                         turns[with ? 1 : 0] += rig.turn;
+      per_second[with ? 1 : 0].push_back(run_load(endpoint, srv, 0, 2).per_second);
+      longest_step[with ? 1 : 0] = std::max(longest_step[with ? 1 : 0], millis(bench.longest_step)),
+                              turns[with ? 1 : 0] += bench.turn;
       if (recorder)
-        for (const auto& [what, n] : recorder->left_out()) left_out += n;
+        for (const auto& [what, n] : recorder->left_out()) dropped += n;
     }
     if (with) bytes += std::filesystem::file_size(file);
   }
@@ -387,26 +390,26 @@
       "Recording the steps of 300 workers: answers a second %.0f, %.3f of without (%.0f), median of 5 rounds "
       "taken in turn; longest step %.2f ms "
       "(%.2f); %zu turns of the loop (%zu); %llu steps, %.0f bytes each, %llu left out\n",
-      per_second[1][2], per_second[1][2] / per_second[0][2], per_second[0][2], longest[1], longest[0],
-      turns[1], turns[0], static_cast<unsigned long long>(steps),
+      per_second[1][2], per_second[1][2] / per_second[0][2], per_second[0][2], longest_step[1],
+      longest_step[0], turns[1], turns[0], static_cast<unsigned long long>(steps),
       static_cast<double>(bytes) / static_cast<double>(std::max<std::uint64_t>(1, steps)),
-      static_cast<unsigned long long>(left_out));
+      static_cast<unsigned long long>(dropped));
 }
 
-void steps() {
+void bench_steps() {
   std::printf("The core's steps, a report from each worker a second, 30 s of virtual time\n");
   double base = 0;
   for (const std::size_t n : {100U, 300U, 1000U}) {
-    Rig rig{n};
-    rig.play(5);
-    rig.spent = rig.longest = {};
-    rig.play(30);
-    const double part = millis(rig.spent) / 30000;
+    CoreBench bench{n};
+    bench.run_for(5);
+    bench.step_time = bench.longest_step = {};
+    bench.run_for(30);
+    const double part = millis(bench.step_time) / 30000;
     if (n == 100) base = part;
     std::printf(
         "  %4zu workers: %.2f%% of a core, %.2f times a hundredth of it for each worker at 100; longest step "
         "%.2f ms\n",
-        n, 100 * part, part / base / (static_cast<double>(n) / 100), millis(rig.longest));
+        n, 100 * part, part / base / (static_cast<double>(n) / 100), millis(bench.longest_step));
   }
 }
 
@@ -414,21 +417,21 @@
 
 // ---- Forwarders ----------------------------------------------------------------------------------------
 
-// Stand-in forwarders on a core of their own. `slow`: the first of them answers nothing after a while.
-class Fronts {
+// Stand-in forwarders on their own core. `slow`: the first one stops responding after stop_first().
+class ForwarderThread {
  public:
-  Fronts(std::size_t n, bool slow) : at(n) {
+  ForwarderThread(std::size_t n, bool slow) : at(n) {
     for (std::size_t k = 0; k < n; ++k)
       at[k] = *Endpoint::parse("127.6.3." + std::to_string(k + 1) + ":19999");
     thread_ = std::thread{[this, n, slow] {
       net::Loop loop;
       const std::string file = (std::filesystem::temp_directory_path() / "gorsemount-bench.records").string();
       standins::Recorder recorder{file};
-      std::vector<std::unique_ptr<standins::Forwarder>> fronts;
+      std::vector<std::unique_ptr<standins::Forwarder>> forwarders;
       for (std::size_t k = 0; k < n; ++k) {
         Endpoint listen = at[k];
         listen.port = 18000;
-        fronts.push_back(std::make_unique<standins::Forwarder>(
+        forwarders.push_back(std::make_unique<standins::Forwarder>(
             loop, recorder,
             standins::ForwarderSettings{"f" + std::to_string(k),
                                         "a",
@@ -441,31 +444,31 @@
       }
       std::function<void()> watch = [&] {
         if (stop_) return loop.stop();
-        if (slow && halt_) fronts[0]->inject_fault(standins::InjectedFaultKind::forwarder_slow);
+        if (slow && stop_first_) forwarders[0]->inject_fault(standins::InjectedFaultKind::forwarder_slow);
         loop.after(Span::seconds(0.01), watch);
       };
       watch();
       ready_ = true;
       loop.run();
-      fronts.clear();
+      forwarders.clear();
       std::filesystem::remove(file);
     }};
     pin(thread_, 3);
     while (!ready_) std::this_thread::yield();
   }
-  ~Fronts() {
+  ~ForwarderThread() {
     stop_ = true;
     thread_.join();
   }
-  void halt() { halt_ = true; }
+  void stop_first() { stop_first_ = true; }
   std::vector<Endpoint> at;
 
  private:
-  std::atomic<bool> stop_{false}, ready_{false}, halt_{false};
+  std::atomic<bool> stop_{false}, ready_{false}, stop_first_{false};
   std::thread thread_;
 };
 
-std::shared_ptr<coordinator::DesiredTable> wanted(std::uint64_t version, std::size_t lines) {
+std::shared_ptr<coordinator::DesiredTable> make_table(std::uint64_t version, std::size_t lines) {
   auto t = std::make_shared<coordinator::DesiredTable>();
   t->version = version;
   t->operations.push_back({"refill-check", {}, {}, -1});
@@ -480,9 +483,9 @@
   return t;
 }
 
-// A driver on a loop, with what came into force and when.
-struct Lead {
-  Lead(net::Loop& on, const std::vector<Endpoint>& at) : loop{on} {
+// A driver on an event loop that records which table versions came into force, and how fast.
+struct DriverBench {
+  DriverBench(net::Loop& on, const std::vector<Endpoint>& at) : loop{on} {
     runtime_api::DriverSettings s;
     for (std::size_t k = 0; k < at.size(); ++k)
       s.targets.push_back(
@@ -498,19 +501,20 @@
             [](bool, const std::string&, const std::vector<std::pair<std::string, std::string>>&) {},
             {},
             [this](ProxyId, std::uint64_t version, Span took, std::size_t changes) {
-              if (version == want) ++in_force, times.push_back(took.seconds()), sent += changes;
+              if (version == wanted_version) ++in_force, times.push_back(took.seconds()), sent += changes;
             }});
   }
   void deliver(std::size_t n, std::size_t lines) {
-    const auto t = wanted(++want, lines);
+    const auto t = make_table(++wanted_version, lines);
     in_force = sent = 0;
     for (std::size_t k = 0; k < n; ++k) driver->deliver(ProxyId{static_cast<std::uint16_t>(30000 + k)}, t);
   }
-  // Until so many hold it, or the time is over. Returns the time taken, s.
-  double until(std::size_t n, double most) {
+  // Runs until n forwarders have the wanted version, or the time limit in seconds has passed. Returns the
+  // elapsed seconds.
+  double wait_in_force(std::size_t n, double timeout) {
     const Instant began = net::monotonic_now();
     std::function<void()> watch = [&] {
-      if (in_force >= n || (net::monotonic_now() - began).seconds() > most) return loop.stop();
+      if (in_force >= n || (net::monotonic_now() - began).seconds() > timeout) return loop.stop();
       loop.after(Span::seconds(0.0005), watch);
     };
     watch();
@@ -524,7 +528,7 @@
   net::Loop& loop;
   std::unique_ptr<runtime_api::Driver> driver;
   std::size_t joined = 0, in_force = 0, sent = 0;
-  std::uint64_t want = 0;
+  std::uint64_t wanted_version = 0;
   std::vector<double> times;
 };
 
@@ -534,8 +538,8 @@
   return static_cast<double>(t.tv_sec) + 1e-9 * static_cast<double>(t.tv_nsec);
 }
 
-// The same bytes written to as many sockets that read and do nothing.
-double bare_write(std::size_t n, std::size_t bytes) {
+// The time to write the same number of bytes to n sockets whose readers discard them, s.
+double plain_write_seconds(std::size_t n, std::size_t bytes) {
   const Endpoint at = *Endpoint::parse("127.6.4.1:19997");
   std::atomic<std::size_t> got{0};
   std::atomic<bool> stop{false}, ready{false};
@@ -584,47 +588,47 @@
   return took;
 }
 
-void lead_fronts() {
-  constexpr std::size_t kFronts = 150, kLines = 100;
+void bench_forwarders() {
+  constexpr std::size_t kForwarders = 150, kLines = 100;
   const auto in_force = [&](bool slow, double& p50, double& p99) {
-    Fronts fronts{kFronts, slow};
+    ForwarderThread forwarders{kForwarders, slow};
     net::Loop loop;
-    Lead lead{loop, fronts.at};
-    lead.run(0.5);
-    lead.deliver(kFronts, kLines);
-    lead.until(kFronts, 5);
-    fronts.halt();
-    lead.run(0.1);
-    lead.times.clear();
+    DriverBench driver_bench{loop, forwarders.at};
+    driver_bench.run(0.5);
+    driver_bench.deliver(kForwarders, kLines);
+    driver_bench.wait_in_force(kForwarders, 5);
+    forwarders.stop_first();
+    driver_bench.run(0.1);
+    driver_bench.times.clear();
     for (int k = 0; k < 40; ++k) {
-      lead.deliver(kFronts, 10);
-      lead.until(slow ? kFronts - 1 : kFronts, 0.5);
-      lead.run(0.02);
+      driver_bench.deliver(kForwarders, 10);
+      driver_bench.wait_in_force(slow ? kForwarders - 1 : kForwarders, 0.5);
+      driver_bench.run(0.02);
     }
-    std::sort(lead.times.begin(), lead.times.end());
-    p50 = at(lead.times, 0.5), p99 = at(lead.times, 0.99);
+    std::sort(driver_bench.times.begin(), driver_bench.times.end());
+    p50 = quantile(driver_bench.times, 0.5), p99 = quantile(driver_bench.times, 0.99);
   };
   {
-    Fronts fronts{kFronts, false};
+    ForwarderThread forwarders{kForwarders, false};
     net::Loop loop;
-    Lead lead{loop, fronts.at};
-    lead.run(0.5);
-    lead.deliver(kFronts, kLines);
-    lead.until(kFronts, 5);
-    std::vector<double> times, own, bare;
+    DriverBench driver_bench{loop, forwarders.at};
+    driver_bench.run(0.5);
+    driver_bench.deliver(kForwarders, kLines);
+    driver_bench.wait_in_force(kForwarders, 5);
+    std::vector<double> times, own, plain;
     std::size_t lines = 0;
     for (int k = 0; k < 5; ++k) {
       const double before = thread_seconds();
       const Instant began = net::monotonic_now();
-      lead.deliver(kFronts, kLines);
-      lead.until(kFronts, 5);
+      driver_bench.deliver(kForwarders, kLines);
+      driver_bench.wait_in_force(kForwarders, 5);
       times.push_back((net::monotonic_now() - began).seconds());
       own.push_back(thread_seconds() - before);
-      lines = lead.sent;
-      bare.push_back(
-          bare_write(kFronts, lines * std::string{"set server refill-check/w50 weight 128\n"}.size()));
+      lines = driver_bench.sent;
+      plain.push_back(plain_write_seconds(
+          kForwarders, lines * std::string{"set server refill-check/w50 weight 128\n"}.size()));
     }
-    std::sort(times.begin(), times.end()), std::sort(bare.begin(), bare.end()),
+    std::sort(times.begin(), times.end()), std::sort(plain.begin(), plain.end()),
         std::sort(own.begin(), own.end());
     std::printf(
         "The driver's own processor time allows %.0f lines a second, planned, written and confirmed\n",
@@ -632,8 +636,8 @@
     std::printf(
         "Lines to %zu forwarders, each confirmed: %.0f a second; a bare write of the same bytes, read: %.0f "
         "(%.2f of it)\n",
-        kFronts, static_cast<double>(lines) / times[2], static_cast<double>(lines) / bare[2],
-        bare[2] / times[2]);
+        kForwarders, static_cast<double>(lines) / times[2], static_cast<double>(lines) / plain[2],
+        plain[2] / times[2]);
   }
   double p50 = 0, p99 = 0, slow50 = 0, slow99 = 0;
   in_force(false, p50, p99);
@@ -642,30 +646,30 @@
       "From order to in force, 10 lines to each of %zu: p50 %.2f ms, p99 %.2f ms; with one that does not "
       "answer p50 %.2f ms, "
       "p99 %.2f ms (%.2f and %.2f of without)\n",
-      kFronts, 1e3 * p50, 1e3 * p99, 1e3 * slow50, 1e3 * slow99, slow50 / p50, slow99 / p99);
-  // DNS answers on the loop that drives forwarders, with and without changes to all of them four times a
-  // second.
-  Rig rig{16};
-  rig.play(3);
-  dns::Front front{front_settings(rig.s), rig.core.group_map()};
-  front.publish(rig.published, rig.core.group_map());
-  const std::string srv = question("_place-order._tcp.refill.test", 33);
-  const Endpoint where = *Endpoint::parse("127.0.0.1:17355");
+      kForwarders, 1e3 * p50, 1e3 * p99, 1e3 * slow50, 1e3 * slow99, slow50 / p50, slow99 / p99);
+  // DNS answers on the event loop that drives the forwarders, with and without changing all of them four
+  // times a second.
+  CoreBench bench{16};
+  bench.run_for(3);
+  dns::Front front{front_settings(bench.s), bench.core.group_map()};
+  front.publish(bench.published, bench.core.group_map());
+  const std::string srv = encode_query("_place-order._tcp.refill.test", 33);
+  const Endpoint endpoint = *Endpoint::parse("127.0.0.1:17355");
   double without = 0, with = 0;
   for (const bool changing : {false, true, false, true}) {
-    Fronts fronts{kFronts, false};
+    ForwarderThread forwarders{kForwarders, false};
     std::atomic<bool> stop{false}, ready{false};
     std::thread server{[&] {
       net::Loop loop;
-      Lead lead{loop, fronts.at};
+      DriverBench driver_bench{loop, forwarders.at};
       net::UdpServer udp{
-          loop, where,
+          loop, endpoint,
           [&](std::span<const std::uint8_t> in, const Endpoint& from, std::span<std::uint8_t> out) {
             return front.answer(in, from.address, true, out).size;
           }};
       std::function<void()> turn = [&] {
         if (stop) return loop.stop();
-        if (changing) lead.deliver(kFronts, 10);
+        if (changing) driver_bench.deliver(kForwarders, 10);
         loop.after(Span::seconds(0.25), turn);
       };
       loop.after(Span::seconds(0.5), [&] { ready = true, turn(); });
@@ -673,7 +677,7 @@
     }};
     pin(server, 0);
     while (!ready) std::this_thread::yield();
-    (changing ? with : without) += load_of(where, srv, 0, 1.5).per_second / 2;
+    (changing ? with : without) += run_load(endpoint, srv, 0, 1.5).per_second / 2;
     stop = true;
     server.join();
   }
@@ -683,14 +687,14 @@
       with, with / without, without);
 }
 
-// With a word, only that part: answers, changes, steps, recording or forwarders.
+// Runs all parts, or only the one named: answers, changes, steps, recording or forwarders.
 int main(int argc, char** argv) {
   const std::string only = argc > 1 ? argv[1] : "";
-  for (const auto& [name, part] : {std::pair<const char*, void (*)()>{"answers", answers},
-                                   {"changes", changes},
-                                   {"steps", steps},
-                                   {"recording", recording},
-                                   {"forwarders", lead_fronts}})
+  for (const auto& [name, part] : {std::pair<const char*, void (*)()>{"answers", bench_answers},
+                                   {"changes", bench_changes},
+                                   {"steps", bench_steps},
+                                   {"recording", bench_recording},
+                                   {"forwarders", bench_forwarders}})
     if (only.empty() || only == name) part();
   return 0;
 }
--- a/bench/store_bench.cpp
+++ b/bench/store_bench.cpp
@@ -1,7 +1,7 @@
-// `gorsemount-store-bench`: what remembering costs. Facts of fleets of 100 to 10,000 workers of which a
-// twentieth is below its full share and a tenth of the ladders moves each half second: bytes and syncs a
-// second, time to read at a start; and how long the core takes to list its facts, which is all that the
-// thread that answers has to do with it.
+// `gorsemount-store-bench`: the cost of persisting facts. Fleets of 100 to 10,000 workers, of which 5 % are
+// below their full share and a tenth of these change every half second. Measures bytes and syncs a second,
+// the time to load at startup, and the time for the core to list its facts, which is the only part on the
+// answering thread.
 #include <algorithm>
 #include <chrono>
 #include <cstdio>
@@ -16,14 +16,14 @@
 
 namespace {
 
-double since(std::chrono::steady_clock::time_point begin) {
+double milliseconds_since(std::chrono::steady_clock::time_point begin) {
   return 1000 * std::chrono::duration<double>(std::chrono::steady_clock::now() - begin).count();
 }
-recovery::ClockReading at(double s) {
+recovery::ClockReading clock_at(double s) {
   return {"boot", static_cast<std::int64_t>(s * 1e6), static_cast<std::int64_t>(s * 1e6)};
 }
 
-recovery::Facts facts_of(int workers, double now, std::mt19937& chance) {
+recovery::Facts facts_of(int workers, double now, std::mt19937& random) {
   recovery::Facts f;
   for (int k = 0; k < workers; ++k) {
     const std::string name = "worker-" + std::to_string(k);
@@ -32,7 +32,7 @@
     if (k % 20 != 0) continue;
     auto& ladder = f[{FactKind::backend_ladder, name}];
     ladder.instance = "10.0.0.1:9000";
-    ladder.figures = {{"share", chance() % 10 == 0 ? 0.5 + 0.001 * now : 0.5},
+    ladder.figures = {{"share", random() % 10 == 0 ? 0.5 + 0.001 * now : 0.5},
                       {"falling", 0},
                       {"eased", 0},
                       {"relapses", 1}};
@@ -43,37 +43,37 @@
   return f;
 }
 
-void write_down(int workers, const std::string& folder) {
+void bench_store(int workers, const std::string& folder) {
   std::filesystem::remove_all(folder);
-  std::mt19937 chance{1};
+  std::mt19937 random{1};
   const auto disk = store::open_directory(folder);
   store::StoreSettings s;
   s.owner = "bench";
-  recovery::FactLog known;
-  store::Store out{*disk, s, at(0), {}};
-  double worst = 0, slowest = 0;
+  recovery::FactLog facts_log;
+  store::Store out{*disk, s, clock_at(0), {}};
+  double worst_write = 0, worst_sync = 0;
   std::uint64_t written = 0;
   constexpr int kRounds = 40;
   for (int k = 1; k <= kRounds; ++k) {
     const auto begin = std::chrono::steady_clock::now();
-    known.observe(Instant::at_seconds(0.5 * k), facts_of(workers, 0.5 * k, chance));
-    out.write(at(0.5 * k), known.after(written));
-    worst = std::max(worst, since(begin));
+    facts_log.observe(Instant::at_seconds(0.5 * k), facts_of(workers, 0.5 * k, random));
+    out.write(clock_at(0.5 * k), facts_log.after(written));
+    worst_write = std::max(worst_write, milliseconds_since(begin));
     out.sync();
-    slowest = std::max(slowest, since(begin));
-    written = known.last_sequence();
+    worst_sync = std::max(worst_sync, milliseconds_since(begin));
+    written = facts_log.last_sequence();
   }
   const auto begin = std::chrono::steady_clock::now();
-  const auto loaded = store::load(*disk, s, at(30));
+  const auto loaded = store::load(*disk, s, clock_at(30));
   std::printf(
       "%6d workers: %8.0f bytes/s, %.1f syncs/s, a write %.2f ms at worst and %.2f with its sync, read at a "
       "start in %.1f ms (%zu facts)\n",
       workers, static_cast<double>(out.bytes()) / (0.5 * kRounds),
-      static_cast<double>(out.syncs()) / (0.5 * kRounds), worst, slowest, since(begin),
+      static_cast<double>(out.syncs()) / (0.5 * kRounds), worst_write, worst_sync, milliseconds_since(begin),
       loaded.entries.size());
 }
 
-void list(int workers) {
+void bench_listing(int workers) {
   coordinator::Settings s;
   s.zones = {"a", "b", "c"};
   s.operations = {{"read", Effect::idempotent, Span::seconds(1), Span::seconds(3), 1}};
@@ -95,23 +95,23 @@
   static_cast<void>(core.step(Instant::at_seconds(1), {coordinator::RosterUpdate{roster}}));
   for (int k = 0; k < 30; ++k)
     static_cast<void>(core.step(Instant::at_seconds(3 + 0.2 * k), {coordinator::GroupLookup{ProxyId{0}}}));
-  std::vector<double> took;
+  std::vector<double> latencies;
   for (int k = 0; k < 2000; ++k) {
     const auto begin = std::chrono::steady_clock::now();
     const auto facts = core.facts();
-    took.push_back(since(begin));
+    latencies.push_back(milliseconds_since(begin));
   }
-  std::sort(took.begin(), took.end());
+  std::sort(latencies.begin(), latencies.end());
   std::printf("%6d workers: the core lists its facts in %.3f ms in the middle, %.3f ms at p99.9\n", workers,
-              took[1000], took[1998]);
+              latencies[1000], latencies[1998]);
 }
 
 }  // namespace
 
 int main() {
   const std::string folder = (std::filesystem::temp_directory_path() / "gorsemount-store-bench").string();
-  for (const int n : {100, 300, 1000, 10000}) write_down(n, folder);
-  for (const int n : {100, 300, 1000}) list(n);
+  for (const int n : {100, 300, 1000, 10000}) bench_store(n, folder);
+  for (const int n : {100, 300, 1000}) bench_listing(n);
   std::filesystem::remove_all(folder);
   return 0;
 }
--- a/models/lead_again.pml
+++ b/models/lead_again.pml
@@ -1,9 +1,10 @@
-/* Somebody leads again if a majority lives. One shard, N controllers; terms are left out, since an asker's is always
-   above all that were seen. Faults are bounded: one member dies, some votes are lost, the members' view of who should
-   lead is wrong for a while. After that, under weak fairness, somebody leads and goes on leading.
+/* Liveness: a leader is elected again while a majority is alive. One shard, N controllers; terms are omitted, since a
+   candidate's term is always above all terms seen. Faults are bounded: one member dies, some votes are lost, and the
+   members' view of the preferred leader is wrong for a while. After that, under weak fairness, some member becomes
+   leader and remains it.
 
    A fault that the checker must find:
-     -DWORD_FOR_EVER  a voter's word to a member that is gone never ends */
+     -DWORD_FOR_EVER  a voter's promise to a dead member never expires */
 #ifndef N
 #define N 3
 #endif
@@ -12,7 +13,7 @@
 byte word_to[N];   /* Leases::promises_ */
 bool up[N], leads[N];
 byte preferred;    /* assignment(), by Membership's view */
-byte lost;         /* votes that were lost so far */
+byte lost;         /* number of votes lost so far */
 
 proctype Member(byte c) {
   byte v, votes;
@@ -24,7 +25,7 @@
           if
           :: (up[v] && (word_to[v] == NONE || word_to[v] == c)) ->
                word_to[v] = c;
-               if :: votes++ :: lost < 1 -> lost++ fi       /* the vote itself may be lost */
+               if :: votes++ :: lost < 1 -> lost++ fi       /* the vote's response may be lost */
           :: else -> skip
           fi; v++ }
      :: else -> break
@@ -33,7 +34,7 @@
   od
 }
 
-/* A voter's word ends once nobody leads by it; by the margins not before. */
+/* A voter's promise expires once its member no longer leads; the lease margins rule out an earlier expiry. */
 proctype Clock(byte v) {
   do
   :: atomic { (word_to[v] != NONE && !leads[word_to[v]]
@@ -51,7 +52,7 @@
   :: (dead == NONE) -> atomic {
        if :: dead = 0 :: dead = 1 :: dead = N - 1 fi;
        up[dead] = false; leads[dead] = false }
-  /* A lease that was not renewed in time. */
+  /* All leases expire without renewal. */
   :: (lost < 1) -> atomic { lost++; i = 0; do :: i < N -> leads[i] = false; i++ :: else -> break od; i = 0 }
   :: break
   od;
--- a/models/takeover.pml
+++ b/models/takeover.pml
@@ -1,12 +1,12 @@
 /* Leases, terms, fencing and takeover for one shard and one forwarder. docs/takeover.md maps the steps to functions.
-   Time stands here as what the margins guarantee: a voter's word outlasts the lease that it is for. A pause is a
-   controller that takes no step while the rest do; what it had written before may arrive at any later time.
+   Time is modelled only by what the margins guarantee: a voter's promise outlasts the lease that it supports. A paused
+   controller takes no step while the others do; commands that it wrote before may arrive at any later time.
 
-   Faults, one for each property that the checker must then find broken:
-     -DNO_FENCE    the forwarder takes orders under any term          -> terms went back
-     -DNO_MARGIN   a voter's word may end while the lease still runs  -> two lead at once
-     -DTWO_VOTES   a voter gives its word twice under one term        -> two with one term
-     -DNO_RESUME   a new leader goes on without reading what is held  -> a half change is taken for whole
+   Seeded faults, and the property that the checker must then find violated:
+     -DNO_FENCE    the forwarder accepts commands of any term              -> an older term is obeyed after a newer one
+     -DNO_MARGIN   a promise may expire while the lease is still valid     -> two leaders at once
+     -DTWO_VOTES   a voter votes twice in one term                         -> two leaders with one term
+     -DNO_RESUME   a new leader doesn't read the forwarder's state         -> a partial change is taken for complete
    Sizes: -DN (controllers), -DTERMS (the highest term). */
 #ifndef N
 #define N 3
@@ -18,19 +18,19 @@
 
 byte seen[N];                 /* Leases::highest_ */
 byte word_to[N], word_term[N];/* Leases::promises_ */
-bool silent[N];               /* Leases::silent_until_, after a restart without memory */
+bool silent[N];               /* Leases::silent_until_, after a restart without stored state */
 bool leads[N];                /* Leases::leads() by its own clock */
 byte term[N];
-byte votes[N], asked[N];      /* Leases::asking_: granted so far, and under which term */
+byte votes[N], asked[N];      /* Leases::asking_: votes granted so far, and their term */
 bool voted[N * N];
-byte leading;                 /* how many lead at once */
-byte owner[TERMS + 1];        /* who won a term */
+byte leading;                 /* number of current leaders */
+byte owner[TERMS + 1];        /* winner of each term */
 
-byte fence;                   /* the forwarder's highest term */
-byte last;                    /* the term that it obeyed last */
-byte holder_term, part;       /* the half change that it holds: whose, and how far: 0 none or whole, 1 half */
-bool learned[N];              /* Driver::Stream: has read what is held, under its present term */
-chan wire[N] = [1] of { byte, byte };  /* term, part; what was written and not yet read */
+byte fence;                   /* highest term that the forwarder has seen */
+byte last;                    /* term of the last accepted command */
+byte holder_term, part;       /* partial change held by the forwarder: its term, and 0: none or complete, 1: half applied */
+bool learned[N];              /* Driver::Stream: has read the forwarder's state in its current term */
+chan wire[N] = [1] of { byte, byte };  /* term, part; commands written and not yet read */
 
 inline give_word(voter, cand, under) {
   if
@@ -53,43 +53,44 @@
 proctype Controller(byte c) {
   byte v, i;
   do
-  /* Leases::ask: a new term, its own word first. */
+  /* Leases::ask: starts a new term with a vote for itself. */
   :: atomic { (!leads[c] && asked[c] == 0 && !silent[c] && seen[c] < TERMS && (word_to[c] == NONE || word_to[c] == c)) ->
        asked[c] = seen[c] + 1; give_word(c, c, asked[c]) }
-  /* A question reaches a voter, and the vote comes back; a lost one is a step that is never taken. */
+  /* A vote request reaches a voter and the vote returns; a lost message is a step that is never taken. */
   :: atomic { asked[c] != 0 ->
        if :: v = 0 :: v = 1 :: v = N - 1 fi;
        if :: (v != c && !voted[c * N + v]) -> give_word(v, c, asked[c]) :: else -> skip fi; v = 0 }
-  /* It gives up on this term. */
+  /* It abandons its candidacy in this term. */
   :: atomic { asked[c] != 0 -> forget_asking(c) }
   /* Leases::won */
   :: atomic { (asked[c] != 0 && votes[c] * 2 > N && !leads[c]) ->
        leads[c] = true; leading++; term[c] = asked[c]; learned[c] = false;
-       assert(owner[term[c]] == NONE || owner[term[c]] == c);   /* no term is won twice */
+       assert(owner[term[c]] == NONE || owner[term[c]] == c);   /* at most one winner a term */
        owner[term[c]] = c;
-       assert(leading == 1);                                     /* never two at once */
+       assert(leading == 1);                                     /* at most one leader at a time */
        forget_asking(c) }
-  /* The lease is over by its clock, or handed over. */
+  /* The lease expires by its own clock, or is handed over. */
   :: atomic { leads[c] -> leads[c] = false; leading--; term[c] = 0; learned[c] = false }
-  /* Driver::Stream::state: it reads what the forwarder holds under its term; the fence rises with it. */
+  /* Driver::Stream::state: reads the forwarder's state in its term, which raises the fence. */
   :: atomic { (leads[c] && !learned[c]) ->
 #ifndef NO_RESUME
        if :: term[c] > fence -> fence = term[c] :: else -> skip fi;
-       /* from what is held the way is planned anew: a half change is its own to finish */
+       /* it plans again from the state read, so completing a partial change is up to it */
        if :: part == 1 -> holder_term = term[c] :: else -> skip fi;
 #endif
        learned[c] = true }
-  /* Driver::Stream::advance: the two halves of a change, written while it leads. */
+  /* Driver::Stream::advance: writes the two halves of a change while it leads. */
   :: atomic { (leads[c] && learned[c] && nfull(wire[c])) ->
        if :: wire[c]!term[c], 1 :: wire[c]!term[c], 2 fi }
-  /* It restarts without memory: gives no word until whatever it promised is over. What it wrote may still arrive. */
+  /* It restarts without stored state and doesn't vote until all earlier promises have expired. Commands that it wrote may
+     still arrive. */
   :: atomic { !silent[c] ->
        if :: leads[c] -> leads[c] = false; leading--; term[c] = 0; learned[c] = false :: else -> skip fi;
        forget_asking(c); silent[c] = true }
   od
 }
 
-/* A voter's word ends; by the margins not before the lease that it is for. */
+/* A voter's promise expires; the margins rule out expiry before the lease that it supports. */
 proctype Clock() {
   byte v;
   do
@@ -99,7 +100,7 @@
        :: (word_to[v] != NONE
 #ifndef NO_MARGIN
            && !(leads[word_to[v]] && term[word_to[v]] == word_term[v])
-           && !(asked[word_to[v]] == word_term[v])  /* nor before what it was asked for can be won */
+           && !(asked[word_to[v]] == word_term[v])  /* nor while the candidacy that it was given for can still succeed */
 #endif
           ) -> word_to[v] = NONE; word_term[v] = 0
        :: else -> skip
@@ -111,22 +112,22 @@
 }
 
 proctype Forwarder() {
-  byte c, t, p;  /* put back to 0 after each step, or the checker tells states apart that are one */
+  byte c, t, p;  /* reset to 0 after each step, or the checker would distinguish identical states */
   do
   :: atomic {
        if :: wire[0]?t, p -> c = 0 :: wire[1]?t, p -> c = 1 :: wire[N - 1]?t, p -> c = N - 1 fi;
        if
 #ifndef NO_FENCE
-       :: t < fence -> skip              /* refused: a higher term was seen */
+       :: t < fence -> skip              /* rejected: a higher term was seen */
 #endif
        :: else ->
             if :: t > fence -> fence = t :: else -> skip fi;
-            assert(t >= last);           /* no order of a lower term is obeyed after a higher one's */
+            assert(t >= last);           /* terms of accepted commands never decrease */
             last = t;
             if
             :: p == 1 -> part = 1; holder_term = t
             :: p == 2 ->
-                 /* whole: the half that it closes is its own, or one that it read and took on */
+                 /* complete: the first half is of its own term, or was read and adopted by it */
                  assert(part == 0 || holder_term == t);
                  part = 0; holder_term = 0
             fi
--- a/src/standins/auditor.cpp
+++ b/src/standins/auditor.cpp
@@ -85,7 +85,7 @@
 // In a shared fleet, a forwarder must not accept a command of a lower term than one it accepted since it
 // started.
 Verdict check_terms(const std::vector<Record>& records) {
-  Verdict v{"terms only grow at a forwarder", true, 0, 0, "orders of a lower term", ""};
+  Verdict v{"terms only grow at a forwarder", true, 0, 0, "commands of a lower term", ""};
   std::map<std::string, std::uint64_t> highest;
   for (const auto& r : records) {
     if (r.what == "forwarder_start") highest.erase(r.text("forwarder"));
@@ -116,9 +116,10 @@
 // ignore them may go on sending, but the worker must reject those invocations once the grace period is over.
 void check_drains(const Day& day, const std::vector<Record>& records, std::uint64_t& refused,
                   std::vector<Verdict>& out) {
-  Verdict sending{"3 drains kept, sending", true, 0, day.drain_grace.seconds(), "s after it was told", ""};
+  Verdict sending{"3 drains kept, sending",   true, 0, day.drain_grace.seconds(),
+                  "s after the announcement", ""};
   Verdict accepted{"3 drains kept, work taken on", true, 0, day.drain_grace.seconds(),
-                   "s after it was told",          ""};
+                   "s after the announcement",     ""};
   std::map<std::string, std::int64_t> announced;
   std::map<std::string, bool> compliant;  // by invocation ID
   std::map<std::string, std::string> forwarder_of;
@@ -171,7 +172,7 @@
       cold_workers.erase(worker);
       if (r.fields.value("cold", false)) cold_workers[worker] = {r.t, r.number("cores"), 0, {}};
     }
-    if (r.what == "fell") v.kept = false, v.detail = worker + " fell over";
+    if (r.what == "fell") v.kept = false, v.detail = worker + " crashed by overload";
     const auto it = r.what == "arrived" ? cold_workers.find(worker) : cold_workers.end();
     if (it == cold_workers.end()) continue;
     ColdWorker& state = it->second;
--- a/src/standins/play.cpp
+++ b/src/standins/play.cpp
@@ -272,8 +272,8 @@
               text += fmt::format("  {} {:5.1f}%", zone, total > 0 ? 100 * weights[zone] / total : 0);
             const auto up =
                 std::count_if(workers_.begin(), workers_.end(), [](const auto& w) { return w->healthy(); });
-            std::printf("%s  lines %2zu  workers well %2td of %zu\n", text.c_str(), answer.targets.size(), up,
-                        workers_.size());
+            std::printf("%s  lines %2zu  workers healthy %2td of %zu\n", text.c_str(), answer.targets.size(),
+                        up, workers_.size());
             std::fflush(stdout);
           });
     loop_.after(Span::seconds(1), [this] { print_weights(); });
