--- a/src/standins/forwarder.cpp
+++ b/src/standins/forwarder.cpp
@@ -10,10 +10,9 @@
 
 namespace {
 
-constexpr int kMaxConsecutiveFailures = 4;  // consecutive failed tries before it avoids a worker
+constexpr int kMaxConsecutiveFailures = 4;  // then the worker is avoided for kAvoidTime
 const Span kAvoidTime = Span::seconds(3);
-const Span kCommandPause =
-    Span::seconds(40e-6);  // pause of forwarding for each command that changes a server
+const Span kCommandPause = Span::seconds(40e-6);  // of forwarding, for each command that changes the table
 
 }  // namespace
 
--- a/src/standins/forwarder.hpp
+++ b/src/standins/forwarder.hpp
@@ -41,8 +41,8 @@
   // Reads only the next `bytes` of commands; the rest stays in flight. Then calls `then` with the sender's
   // name.
   void cut_after(std::size_t bytes, std::function<void(const std::string& leader)> then);
-  void thaw() { runtime_.thaw(); }
-  void drop_frozen() { runtime_.drop_frozen(); }
+  void resume_commands() { runtime_.thaw(); }
+  void drop_pending_commands() { runtime_.drop_frozen(); }
   [[nodiscard]] const ForwarderSettings& settings() const { return s_; }
 
  private:
@@ -79,8 +79,8 @@
   std::map<std::string, int> variables_;
   std::map<std::string, std::uint64_t> arrived_, retries_;
   limits::RetryLimiter retry_limiter_;
-  std::map<std::string, std::pair<double, Instant>>
-      tokens_;  // token buckets of the rate limits, by operation
+  // Token buckets of the rate limits, by operation.
+  std::map<std::string, std::pair<double, Instant>> tokens_;
   std::optional<InjectedFaultKind> fault_;
   Instant started_, paused_until_;  // forwards nothing before this, while it applies changes
   runtime_api::CommandServer runtime_;
--- a/src/standins/play.cpp
+++ b/src/standins/play.cpp
@@ -239,9 +239,9 @@
       // Commands in flight are lost when the sender is killed; when it is suspended, they arrive shortly
       // before it resumes.
       if (day_.cuts.pause) {
-        loop_.after(day_.cuts.lasts * 0.9, [f] { f->thaw(); });
+        loop_.after(day_.cuts.lasts * 0.9, [f] { f->resume_commands(); });
       } else {
-        loop_.after(Span::seconds(0.02), [f] { f->drop_frozen(); });
+        loop_.after(Span::seconds(0.02), [f] { f->drop_pending_commands(); });
       }
     });
   }
