--- a/bench/program_bench.cpp
+++ b/bench/program_bench.cpp
@@ -17,7 +17,7 @@
 #include <thread>
 
 #include "coordinator/coordinator.hpp"
-#include "dns/front.hpp"
+#include "dns/responder.hpp"
 #include "dns/server.hpp"
 #include "record/recorder.hpp"
 #include "runtime_api/driver.hpp"
@@ -49,8 +49,8 @@
   return s;
 }
 
-dns::FrontSettings front_settings(const Settings& s) {
-  dns::FrontSettings f{
+dns::ResponderSettings responder_settings(const Settings& s) {
+  dns::ResponderSettings f{
       "refill.test", "h.refill.test", {"ns.refill.test"}, *Address::parse("127.0.0.1"), 1, 1232, {}, 16, 2};
   for (const auto& op : s.operations) f.operations.push_back(op.name);
   return f;
@@ -252,14 +252,14 @@
 void bench_answers() {
   CoreBench bench{16};
   bench.run_for(3);
-  dns::Front front{front_settings(bench.s), bench.core.group_map()};
-  front.publish(bench.published, bench.core.group_map());
+  dns::Responder responder{responder_settings(bench.s), bench.core.group_map()};
+  responder.publish(bench.published, bench.core.group_map());
   const Endpoint endpoint = *Endpoint::parse("127.0.0.1:17353");
   const std::string srv = encode_query("_place-order._tcp.refill.test", 33),
                     address = encode_query("place-order.refill.test", 1);
   const auto serve = [&](std::span<const std::uint8_t> in, const Endpoint& from,
                          std::span<std::uint8_t> out) {
-    return front.answer(in, from.address, true, out).size;
+    return responder.answer(in, from.address, true, out).size;
   };
   const auto echo = [](std::span<const std::uint8_t> in, const Endpoint&, std::span<std::uint8_t> out) {
     std::copy(in.begin(), in.end(), out.begin());
@@ -295,8 +295,8 @@
 void bench_changes() {
   CoreBench bench{600};
   bench.run_for(3);
-  dns::Front front{front_settings(bench.s), bench.core.group_map()};
-  front.publish(bench.published, bench.core.group_map());
+  dns::Responder responder{responder_settings(bench.s), bench.core.group_map()};
+  responder.publish(bench.published, bench.core.group_map());
   std::vector<double> steps, pauses;
   std::uint64_t orders = bench.core.counters().orders;
   const auto change = [&] {
@@ -306,12 +306,12 @@
     const auto began = std::chrono::steady_clock::now();
     bench.step({heard});
     const auto stepped = std::chrono::steady_clock::now();
-    front.publish(bench.published, bench.core.group_map());
+    responder.publish(bench.published, bench.core.group_map());
     steps.push_back(millis(stepped - began));
     pauses.push_back(millis(std::chrono::steady_clock::now() - began));
     // The channel's messages arrive slightly later, each publishing another version.
     for (int k = 0; k < 3; ++k) bench.now = bench.now + Span::seconds(0.2), bench.step({});
-    front.publish(bench.published, bench.core.group_map());
+    responder.publish(bench.published, bench.core.group_map());
   };
   const Endpoint endpoint = *Endpoint::parse("127.0.0.1:17354");
   const std::string srv = encode_query("_place-order._tcp.refill.test", 33);
@@ -320,7 +320,7 @@
     const UdpServerThread s{
         endpoint,
         [&](std::span<const std::uint8_t> in, const Endpoint& from, std::span<std::uint8_t> out) {
-          return front.answer(in, from.address, true, out).size;
+          return responder.answer(in, from.address, true, out).size;
         },
         change};
     load = run_load(endpoint, srv, 20000, 2);
@@ -349,8 +349,8 @@
     const bool with = (round + round / 2) % 2 == 1;  // alternates which variant runs first
     CoreBench bench{300};
     bench.run_for(3);
-    dns::Front front{front_settings(bench.s), bench.core.group_map()};
-    front.publish(bench.published, bench.core.group_map());
+    dns::Responder responder{responder_settings(bench.s), bench.core.group_map()};
+    responder.publish(bench.published, bench.core.group_map());
     const auto file = (folder / "bench.h5").string();
     {
       background::Executor background{net::monotonic_now};
@@ -367,14 +367,14 @@
       const UdpServerThread s{
           endpoint,
           [&](std::span<const std::uint8_t> in, const Endpoint& from, std::span<std::uint8_t> out) {
-            return front.answer(in, from.address, true, out).size;
+            return responder.answer(in, from.address, true, out).size;
           },
           [&, last = net::monotonic_now()]() mutable {
             // The number of steps follows the clock, so both variants run equally many even if the loop is
             // late.
             const Instant now = net::monotonic_now();
             bench.run_for((now - std::exchange(last, now)).seconds());
-            front.publish(bench.published, bench.core.group_map());
+            responder.publish(bench.published, bench.core.group_map());
           }};
       per_second[with ? 1 : 0].push_back(run_load(endpoint, srv, 0, 2).per_second);
       longest_step[with ? 1 : 0] = std::max(longest_step[with ? 1 : 0], millis(bench.longest_step)),
@@ -651,8 +651,8 @@
   // times a second.
   CoreBench bench{16};
   bench.run_for(3);
-  dns::Front front{front_settings(bench.s), bench.core.group_map()};
-  front.publish(bench.published, bench.core.group_map());
+  dns::Responder responder{responder_settings(bench.s), bench.core.group_map()};
+  responder.publish(bench.published, bench.core.group_map());
   const std::string srv = encode_query("_place-order._tcp.refill.test", 33);
   const Endpoint endpoint = *Endpoint::parse("127.0.0.1:17355");
   double without = 0, with = 0;
@@ -665,7 +665,7 @@
       net::UdpServer udp{
           loop, endpoint,
           [&](std::span<const std::uint8_t> in, const Endpoint& from, std::span<std::uint8_t> out) {
-            return front.answer(in, from.address, true, out).size;
+            return responder.answer(in, from.address, true, out).size;
           }};
       std::function<void()> turn = [&] {
         if (stop) return loop.stop();
--- a/src/app/records.cpp
+++ b/src/app/audit_log.cpp
@@ -1,4 +1,4 @@
-#include "app/records.hpp"
+#include "app/audit_log.hpp"
 
 #include <fmt/format.h>
 
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-Records::Records(const std::string& file, std::string coordinator) : coordinator_{std::move(coordinator)} {
+AuditLog::AuditLog(const std::string& file, std::string coordinator) : coordinator_{std::move(coordinator)} {
   if (file.empty()) return;
   file_.reset(std::fopen(file.c_str(), "ae"));
   if (!file_) throw std::system_error{errno, std::generic_category(), "records file " + file};
@@ -24,14 +24,14 @@
              micros_now(), coordinator_);
 }
 
-void Records::message(const coordinator::Message& m) {
+void AuditLog::message(const coordinator::Message& m) {
   if (!file_) return;
   fmt::print(file_.get(),
              "{{\"t\":{},\"what\":\"message\",\"coordinator\":\"{}\",\"group\":{},\"lines\":{}}}\n",
              micros_now(), coordinator_, m.group.value, m.lines);
 }
 
-void Records::in_force(ProxyId forwarder, std::uint64_t version, Span took, std::size_t changes) {
+void AuditLog::in_force(ProxyId forwarder, std::uint64_t version, Span took, std::size_t changes) {
   if (!file_) return;
   fmt::print(file_.get(),
              "{{\"t\":{},\"what\":\"in_force\",\"coordinator\":\"{}\",\"forwarder\":{},\"version\":{},"
--- a/src/app/records.hpp
+++ b/src/app/audit_log.hpp
@@ -9,9 +9,9 @@
 
 namespace gorsemount::app {
 
-class Records {
+class AuditLog {
  public:
-  Records(const std::string& file, std::string coordinator);  // none if empty; throws std::system_error
+  AuditLog(const std::string& file, std::string coordinator);  // none if empty; throws std::system_error
   void message(const coordinator::Message& message);
   // A forwarder holds a version, so long after it was handed over.
   void in_force(ProxyId forwarder, std::uint64_t version, Span took, std::size_t changes);
--- a/src/app/coordinator.cpp
+++ b/src/app/coordinator.cpp
@@ -128,7 +128,7 @@
   // What comes in one turn of the loop is one batch.
   void schedule() {
     if (std::exchange(scheduled_, true)) return;
-    loop_.soon([this] { step(); });
+    loop_.call_soon([this] { step(); });
   }
 
   void step() {
@@ -258,21 +258,21 @@
     config = read_coordinator_config(environment);
   } catch (const std::exception& fault) {
     std::cerr << "gorsemount coordinator: " << fault.what() << '\n';
-    return kBadSettings;
+    return kExitInvalidConfig;
   }
   std::unique_ptr<Service> service;
   try {
     service = std::make_unique<Service>(std::move(config));
   } catch (const std::system_error& fault) {
     std::cerr << "gorsemount coordinator: " << fault.what() << '\n';
-    return kCannotListen;
+    return kExitCannotListen;
   }
   try {
     service->run();
-    return kWell;
+    return kExitSuccess;
   } catch (const std::exception& fault) {
     std::cerr << "gorsemount coordinator: " << fault.what() << '\n';
-    return kFailed;
+    return kExitFailure;
   }
 }
 
--- a/src/app/ctl.cpp
+++ b/src/app/ctl.cpp
@@ -67,11 +67,11 @@
     for (const auto& line :
          runtime_api::Operators::complete(fmt::format("{}", fmt::join(options.words, " "))))
       std::printf("%s\n", line.c_str());
-    return kWell;
+    return kExitSuccess;
   }
   if (options.socket.empty()) {
     std::fprintf(stderr, "ctl: SOCKET is missing\n");
-    return kBadCommand;
+    return kExitUsageError;
   }
   std::string token;
   if (!options.token_file.empty()) {
@@ -79,15 +79,15 @@
     token = config::read_file(options.token_file, faults);
     token.erase(token.find_last_not_of(" \r\n") + 1);
     for (const auto& f : faults) std::fprintf(stderr, "%s\n", f.text().c_str());
-    if (!faults.empty()) return kBadSettings;
+    if (!faults.empty()) return kExitInvalidConfig;
   }
-  int code = kWell;
+  int code = kExitSuccess;
   const auto one = [&](const std::string& command) {
     // The token goes in the same line, since one-shot streams end with it.
     const auto answer = ask(options.socket, (token.empty() ? "" : "token " + token + "; ") + command + "\n");
     if (!answer) {
       std::fprintf(stderr, "%s: %s\n", options.socket.c_str(), std::strerror(errno));
-      code = kFailed;
+      code = kExitFailure;
       return;
     }
     const std::string text =
@@ -97,12 +97,12 @@
     const bool refused =
         shows ? text.starts_with("Unknown") || text.starts_with("No ") || text.starts_with("Permission")
               : !text.empty();
-    if (refused) code = kRefused;
+    if (refused) code = kExitCommandRefused;
   };
   if (!options.words.empty()) {
     one(fmt::format("{}", fmt::join(options.words, " ")));
   } else {
-    for (std::string line; code != kFailed && std::getline(std::cin, line);) one(line);
+    for (std::string line; code != kExitFailure && std::getline(std::cin, line);) one(line);
   }
   return code;
 }
--- a/src/app/ctl.hpp
+++ b/src/app/ctl.hpp
@@ -11,7 +11,7 @@
   std::vector<std::string> words;
   bool complete = false;
 };
-// Prints the answer. Returns the exit code: kRefused if the command was refused or not understood.
+// Prints the answer. Returns the exit code: kExitCommandRefused if the command was refused or not understood.
 int ctl(const CtlOptions& options);
 
 }  // namespace gorsemount::app
--- a/src/app/day.cpp
+++ b/src/app/day.cpp
@@ -295,19 +295,19 @@
   loop.after(kPoll, poll);
   loop.run();
   for (auto& fleet : fleets) fleet->stop();
-  if (interrupted) return kFailed;
+  if (interrupted) return kExitFailure;
   for (const auto& fleet : fleets)
     if (fleet->failed()) {
       std::fprintf(stderr, "gorsemount: the stand-ins failed; see %s/errors.log\n", fleet->folder().c_str());
       std::ifstream in{fleet->folder() + "/errors.log"};
       for (std::string line; std::getline(in, line);) std::fprintf(stderr, "  %s\n", line.c_str());
-      return kFailed;
+      return kExitFailure;
     }
   const Audit ours = fleets.front()->judge();
   std::optional<Audit> fixed;
   if (options.baseline) fixed = fleets.back()->judge();
   print_table(ours, fixed ? &*fixed : nullptr);
-  return ours.kept() ? kWell : kRuleBroken;
+  return ours.kept() ? kExitSuccess : kExitRuleViolated;
 }
 
 }  // namespace
@@ -320,7 +320,7 @@
   faults.insert(faults.end(), findings.faults.begin(), findings.faults.end());
   if (!faults.empty()) {
     for (const auto& f : faults) std::fprintf(stderr, "%s\n", f.text().c_str());
-    return kBadSettings;
+    return kExitInvalidConfig;
   }
   std::string folder = options.folder;
   try {
@@ -331,7 +331,7 @@
     folder = fs::absolute(folder).string();
     for (const char* part : {"/module", "/fixed"}) fs::remove_all(folder + part);
     const int code = play(script, options, folder);
-    if (options.folder.empty() && code == kWell) {
+    if (options.folder.empty() && code == kExitSuccess) {
       fs::remove_all(folder);
     } else {
       std::printf("\nRecords, settings and logs: %s\n", folder.c_str());
@@ -339,7 +339,7 @@
     return code;
   } catch (const std::exception& fault) {
     std::fprintf(stderr, "gorsemount: %s\n", fault.what());
-    return kFailed;
+    return kExitFailure;
   }
 }
 
--- a/src/app/day.hpp
+++ b/src/app/day.hpp
@@ -16,8 +16,8 @@
   bool quiet = false;   // no live line
   unsigned octet = 20;  // of the loopback addresses used: 127.octet to 127.octet+19
 };
-// Returns the exit code: kBadSettings for a change that can't be, kRuleBroken if a rule broke under the
-// module.
+// Returns the exit code: kExitInvalidConfig for a change that can't be, kExitRuleViolated if a rule broke
+// under the module.
 int day(const DayOptions& options);
 
 }  // namespace gorsemount::app
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -13,7 +13,7 @@
   if (argc > 1 && std::string_view{argv[1]} == "coordinator") hold_signals();
   CLI::App app{"gorsemount tells forwarders and DNS clients where work goes", "gorsemount"};
   app.require_subcommand(1);
-  int code = kWell;
+  int code = kExitSuccess;
 
   auto* coordinator_command = app.add_subcommand("coordinator",
                                                  "run a coordinator on a platform that tells it all by "
@@ -26,7 +26,7 @@
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& fault) {
-    return app.exit(fault) == 0 ? kWell : kBadCommand;
+    return app.exit(fault) == 0 ? kExitSuccess : kExitUsageError;
   }
   return code;
 }
--- a/src/app/record.cpp
+++ b/src/app/record.cpp
@@ -111,7 +111,7 @@
       }
       record::write(r, o.out);
       std::printf("%s", record::info(record::read(o.out), o.out).c_str());
-      return kWell;
+      return kExitSuccess;
     }
     const auto r = record::read(o.file);
     if (o.action == "info") {
@@ -120,7 +120,7 @@
       const auto wrong = record::verify(r, progress);
       for (const auto& w : wrong) std::printf("%s: %s\n", o.file.c_str(), w.c_str());
       if (r.cut) std::printf("%s: cut off; whole up to its last row\n", o.file.c_str());
-      if (!wrong.empty()) return kBadSettings;
+      if (!wrong.empty()) return kExitInvalidConfig;
       std::printf("%s: good, %zu steps, %zu invocations\n", o.file.c_str(), r.steps.size(),
                   r.invocations.size());
     } else if (o.action == "cut") {
@@ -138,10 +138,10 @@
         save(o.out, text);
       }
     }
-    return kWell;
+    return kExitSuccess;
   } catch (const std::exception& fault) {
     std::fprintf(stderr, "gorsemount: %s\n", fault.what());
-    return kBadSettings;
+    return kExitInvalidConfig;
   }
 }
 
@@ -165,7 +165,7 @@
                     recording.steps.size());
         if (!same.stopped.empty()) std::printf("  not further: %s\n", same.stopped.c_str());
         if (!same.difference.empty()) std::printf("  %s\n", same.difference.c_str());
-        return same.difference.empty() && same.compared > 0 ? kWell : kRuleBroken;
+        return same.difference.empty() && same.compared > 0 ? kExitSuccess : kExitRuleViolated;
       }
       fitted = lab::fit(recording);
     }
@@ -194,8 +194,8 @@
         variants.push_back(std::move(v));
       }
     }
-    lab::WorldSettings world;
-    world.seed = o.first, world.list = !recording.invocations.empty() || !o.out.empty();
+    lab::SimulationSettings world;
+    world.seed = o.first, world.list_completions = !recording.invocations.empty() || !o.out.empty();
     std::string remark;
     if (!recording.invocations.empty()) {
       const auto played = lab::play(fitted.day, {variants.front()}, 1, 1, world, [](double) {});
@@ -215,7 +215,7 @@
             c.service_error, c.zone_error);
       std::printf("  %s\n", remark.empty() ? "matched" : remark.c_str());
     }
-    world.list = !o.out.empty();
+    world.list_completions = !o.out.empty();
     if (!o.window.empty()) {
       const auto played = lab::play_windows(
           fitted.day, variants, {span_of("--window", o.window), span_of("--warm", o.warm), o.part, o.first},
@@ -224,8 +224,8 @@
       if (!remark.empty()) std::printf("  %s\n", remark.c_str());
       return std::any_of(played.variants.begin(), played.variants.end(),
                          [](const auto& v) { return !v.broken.empty(); })
-                 ? kRuleBroken
-                 : kWell;
+                 ? kExitRuleViolated
+                 : kExitSuccess;
     }
     const auto played = lab::play(fitted.day, variants, o.seeds, o.jobs, world, progress);
     std::printf("%s", lab::table(fitted.day, played).c_str());
@@ -244,11 +244,11 @@
                                       played[0].outcomes[0]),
                     o.out);
     return std::any_of(played.begin(), played.end(), [](const auto& p) { return !p.broken.empty(); })
-               ? kRuleBroken
-               : kWell;
+               ? kExitRuleViolated
+               : kExitSuccess;
   } catch (const std::exception& fault) {
     std::fprintf(stderr, "gorsemount: %s\n", fault.what());
-    return kBadSettings;
+    return kExitInvalidConfig;
   }
 }
 
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -8,8 +8,8 @@
 #include <exception>
 #include <memory>
 
+#include "app/audit_log.hpp"
 #include "app/exit_codes.hpp"
-#include "app/records.hpp"
 #include "app/roster_file.hpp"
 #include "app/store.hpp"
 #include "background/executor.hpp"
@@ -18,10 +18,10 @@
 #include "coordinator/baseline.hpp"
 #include "coordinator/coordinator.hpp"
 #include "dns/server.hpp"
-#include "hears/prober.hpp"
 #include "log/log.hpp"
 #include "net/loop.hpp"
 #include "peers/peer_transport.hpp"
+#include "probes/prober.hpp"
 #include "record/recorder.hpp"
 #include "recovery/fact_confidence.hpp"
 #include "runtime_api/command_server.hpp"
@@ -42,15 +42,15 @@
 const Span kTell = Span::seconds(0.25);      // between looks at what other controllers are to hear of
 const Span kLastWords = Span::seconds(0.5);  // for TCP answers that are being written at a stop
 
-dns::FrontSettings front_settings(const ServeSettings& s) {
-  dns::FrontSettings f;
+dns::ResponderSettings responder_settings(const ServeSettings& s) {
+  dns::ResponderSettings f;
   f.origin = s.dns.origin, f.hostmaster = s.dns.hostmaster, f.nameservers = s.dns.nameservers;
   f.address = s.listen.address;
   f.negative_ttl = static_cast<std::uint32_t>(s.dns.negative_for.seconds());
   f.udp_size = static_cast<std::uint16_t>(s.dns.additional_most);
   for (const auto& op : s.core.operations) f.operations.push_back(op.name);
-  f.lines_most = static_cast<std::size_t>(s.core.lines_most);
-  f.addresses_most = static_cast<std::size_t>(s.core.addresses_most);
+  f.max_srv_records = static_cast<std::size_t>(s.core.lines_most);
+  f.max_addresses = static_cast<std::size_t>(s.core.addresses_most);
   return f;
 }
 
@@ -77,11 +77,11 @@
       : s_{std::move(settings)},
         options_{std::move(options)},
         log_{s_.name, s_.log_level, s_.log_file},
-        records_{s_.records_file, s_.name},
+        audit_log_{s_.records_file, s_.name},
         core_{s_.core,
               options_.fixed ? coordinator::fixed_weights() : coordinator::policy_decision_maker(s_.core)},
         roster_{s_.core, s_.roster_file},
-        front_{front_settings(s_), core_.group_map()},
+        responder_{responder_settings(s_), core_.group_map()},
         prober_{loop_,
                 {s_.health_path, s_.load_path, s_.health_every, s_.health_again, s_.health_timeout,
                  s_.load_every, s_.load_timeout, s_.core.operations},
@@ -98,7 +98,7 @@
                    return !cluster_ || cluster_->held_term(shard_of(id), net::monotonic_now()).has_value();
                  },
                  [this](ProxyId id, std::uint64_t version, Span took, std::size_t changes) {
-                   records_.in_force(id, version, took, changes);
+                   audit_log_.in_force(id, version, took, changes);
                  },
                  [this](ProxyId id, std::uint64_t term) {
                    if (cluster_) cluster_->observe_term(net::monotonic_now(), shard_of(id), {term});
@@ -112,24 +112,24 @@
     for (const int signal : {SIGTERM, SIGINT, SIGHUP}) sigaddset(&ours, signal);
     pthread_sigmask(SIG_BLOCK, &ours, nullptr);
     background_.emplace(net::monotonic_now);
-    if (!open_recording()) return kCannotListen;
+    if (!open_recording()) return kExitCannotListen;
     open_store();
     heed(roster_.look());
     step();
     try {
-      server_.emplace(loop_, front_,
+      server_.emplace(loop_, responder_,
                       dns::ServerSettings{s_.listen, static_cast<std::size_t>(s_.tcp_most), s_.tcp_idle},
                       [this](ProxyId group) { looked_up(group); });
     } catch (const std::exception& fault) {
       log_.event(log::Level::error, "cannot_listen", {{"at", s_.listen.text()}, {"why", fault.what()}});
-      return kCannotListen;
+      return kExitCannotListen;
     }
     log_.event(log::Level::info, "listening",
                {{"at", s_.listen.text()},
                 {"origin", s_.dns.origin},
                 {"zone", s_.zone_name},
                 {"lifetime", config::span_text(coordinator::answer_lifetime(s_.core))}});
-    if (!open_operators() || !join_cluster()) return kCannotListen;
+    if (!open_operators() || !join_cluster()) return kExitCannotListen;
     loop_.on_signal(SIGTERM, [this] { stop(); });
     loop_.on_signal(SIGINT, [this] { stop(); });
     loop_.on_signal(SIGHUP, [this] { reload(); });
@@ -137,12 +137,12 @@
     loop_.run();
     background_->remove(roster_task_);
     const auto c = core_.counters();
-    const auto& f = front_.counters();
+    const auto& f = responder_.counters();
     log_.event(log::Level::info, "stopped",
                {{"answers", std::to_string(f.answers)},
                 {"truncated", std::to_string(f.truncated)},
                 {"rate_limited", std::to_string(f.rate_limited)},
-                {"unsent", std::to_string(server_->unsent())},
+                {"unsent", std::to_string(server_->dropped_datagrams())},
                 {"steps", std::to_string(c.steps)},
                 {"orders", std::to_string(c.orders)},
                 {"messages", std::to_string(c.messages)},
@@ -150,7 +150,7 @@
                 {"most_waiting", fmt::format("{:.0f}", c.peak_backlog)},
                 {"cut_unasked", std::to_string(c.filtered_lines)},
                 {"stood_in", std::to_string(c.fallback_views)}});
-    return kWell;
+    return kExitSuccess;
   }
 
  private:
@@ -411,8 +411,8 @@
     auto inputs = std::exchange(inputs_, {});
     const auto effects = core_.step(now, inputs);
     if (recorder_) recorder_->step(now, std::move(inputs), effects);
-    if (effects.published) front_.publish(effects.published, core_.group_map());
-    for (const auto& m : effects.messages) records_.message(m);
+    if (effects.published) responder_.publish(effects.published, core_.group_map());
+    for (const auto& m : effects.messages) audit_log_.message(m);
     for (const auto& d : effects.deliveries) driver_.deliver(d.forwarder, d.table);
     answers_ = effects.command_results;
     for (const auto& n : effects.log_events)
@@ -434,7 +434,7 @@
     std::map<BackendId, Endpoint> asked;
     for (const auto& [name, at] : names)
       if (const auto id = core_.backend_id(name)) asked[*id] = at;
-    if (!options_.fixed) prober_.follow(asked);  // a plain zone file asks nobody
+    if (!options_.fixed) prober_.set_backends(asked);  // a plain zone file asks nobody
     log_.event(log::Level::info, "roster_read", {{"backends", std::to_string(n)}});
   }
 
@@ -506,14 +506,14 @@
   ServeSettings s_;
   ServeOptions options_;
   log::Log log_;
-  Records records_;
+  AuditLog audit_log_;
   net::Loop loop_;
   coordinator::Coordinator core_;
   RosterFile roster_;
   background::TaskId roster_task_;
-  dns::Front front_;
+  dns::Responder responder_;
   std::optional<dns::Server> server_;
-  hears::Prober prober_;
+  probes::Prober prober_;
   std::vector<Input> inputs_;
   std::vector<Instant> seen_;
   std::vector<std::string> answers_;
@@ -553,32 +553,32 @@
 int serve(const ServeOptions& options) {
   config::Findings findings;
   const auto settings = load(options.config, findings);
-  if (!settings) return kBadSettings;
+  if (!settings) return kExitInvalidConfig;
   try {
     return std::make_unique<Service>(*settings, options)->run();
   } catch (const std::exception& fault) {
     std::fprintf(stderr, "gorsemount: %s\n", fault.what());
-    return kFailed;
+    return kExitFailure;
   }
 }
 
 int check(const std::string& config) {
   config::Findings findings;
   const auto settings = load(config, findings);
-  if (!settings) return kBadSettings;
+  if (!settings) return kExitInvalidConfig;
   std::vector<hcl::Fault> faults;
   const std::string text = config::read_file(settings->roster_file, faults);
   if (faults.empty()) faults = config::read_roster(text, settings->roster_file, settings->core).faults;
   print(faults);
-  if (!faults.empty()) return kBadSettings;
+  if (!faults.empty()) return kExitInvalidConfig;
   std::printf("%s: good\n", config.c_str());
-  return kWell;
+  return kExitSuccess;
 }
 
 int explain_config(const std::string& config) {
   config::Findings findings;
   const auto settings = load(config, findings);
-  if (!settings) return kBadSettings;
+  if (!settings) return kExitInvalidConfig;
   std::size_t path = 0, value = 0;
   for (const auto& v : findings.values)
     path = std::max(path, v.path.size()), value = std::max(value, v.value.size());
@@ -588,7 +588,7 @@
               fmt::format("{:<{}}  {:<{}}  worked out: half of drain_grace less use_after", "answer lifetime",
                           path, config::span_text(coordinator::answer_lifetime(settings->core)), value)
                   .c_str());
-  return kWell;
+  return kExitSuccess;
 }
 
 }  // namespace gorsemount::app
--- a/src/app/simulate.cpp
+++ b/src/app/simulate.cpp
@@ -15,7 +15,7 @@
 #include "app/exit_codes.hpp"
 #include "config/settings.hpp"
 #include "lab/replay/settings.hpp"
-#include "lab/world/world.hpp"
+#include "lab/simulation/simulation.hpp"
 
 namespace gorsemount::app {
 
@@ -74,11 +74,12 @@
   const script::Day day = faults.empty() ? script::read_day(text, o.day, findings) : script::Day{};
   faults.insert(faults.end(), findings.faults.begin(), findings.faults.end());
   for (const auto& f : faults) std::fprintf(stderr, "%s\n", f.text().c_str());
-  if (!faults.empty()) return kBadSettings;
-  const std::map<std::string, lab::Decider> deciders{{"module", lab::Decider::module},
-                                                     {"equal", lab::Decider::fixed_weights},
-                                                     {"zone-local", lab::Decider::zone_local},
-                                                     {"oracle", lab::Decider::oracle}};
+  if (!faults.empty()) return kExitInvalidConfig;
+  const std::map<std::string, lab::DecisionMakerKind> deciders{
+      {"module", lab::DecisionMakerKind::policy},
+      {"equal", lab::DecisionMakerKind::fixed_weights},
+      {"zone-local", lab::DecisionMakerKind::zone_local},
+      {"oracle", lab::DecisionMakerKind::oracle}};
   std::vector<lab::Override> changes;
   try {
     for (const auto& change : o.changes) changes.push_back(lab::read_override(change));
@@ -86,7 +87,7 @@
       static_cast<void>(lab::settings_for(day, n, "", changes));  // faults now
   } catch (const std::exception& fault) {
     std::fprintf(stderr, "gorsemount: %s\n", fault.what());
-    return kBadSettings;
+    return kExitInvalidConfig;
   }
   std::vector<std::optional<lab::Outcome>> outcomes(static_cast<std::size_t>(o.seeds));
   std::atomic<std::size_t> next = 0;
@@ -94,14 +95,14 @@
   std::mutex printing;
   const auto work = [&] {
     for (std::size_t k = next++; k < outcomes.size(); k = next++) {
-      lab::WorldSettings s;
-      s.seed = o.first + k, s.random_faults = o.faults, s.fences = o.fences, s.keeps = o.keeps;
-      s.decider = deciders.at(o.by);
+      lab::SimulationSettings s;
+      s.seed = o.first + k, s.random_faults = o.faults, s.fencing = o.fences, s.keep_store = o.keeps;
+      s.decision_maker = deciders.at(o.by);
       s.settings = [&](std::size_t n) { return lab::settings_for(day, n, "", changes); };
-      s.drift = o.faults > 0 ? 0.01 : 0;
-      outcomes[k] = lab::World{day, std::move(s)}.run();
+      s.clock_drift = o.faults > 0 ? 0.01 : 0;
+      outcomes[k] = lab::Simulation{day, std::move(s)}.run();
       const std::lock_guard lock{printing};
-      for (const auto& rule : outcomes[k]->broken(day))
+      for (const auto& rule : outcomes[k]->broken_rules(day))
         std::printf("  BROKEN  seed %llu: %s\n", static_cast<unsigned long long>(o.first + k), rule.c_str());
       std::fflush(stdout);
     }
@@ -116,15 +117,15 @@
   std::uint64_t broken = 0, lower = 0, refused = 0, takeovers = 0, half = 0, bytes = 0, tries = 0,
                 crossings = 0, further = 0;
   for (const auto& r : outcomes) {
-    service.push_back(r->whole.service()), worst.push_back(r->worst_ten());
-    unled.insert(unled.end(), r->unled.begin(), r->unled.end());
-    bare = std::max(bare, r->bare), drained = std::max(drained, r->drained_sent),
-    cold = std::max(cold, r->cold_brought);
-    waiting = std::max(waiting, r->waiting), broken += r->broken(day).empty() ? 0 : 1,
-    lower += r->lower_terms;
-    refused += r->terms_refused, takeovers += r->takeovers, half += r->half_changes,
+    service.push_back(r->whole.service()), worst.push_back(r->worst_ten_seconds());
+    unled.insert(unled.end(), r->leaderless_times.begin(), r->leaderless_times.end());
+    bare = std::max(bare, r->longest_unserved), drained = std::max(drained, r->longest_send_after_drain),
+    cold = std::max(cold, r->worst_cold_overload);
+    waiting = std::max(waiting, r->most_waiting_lines), broken += r->broken_rules(day).empty() ? 0 : 1,
+    lower += r->stale_terms_accepted;
+    refused += r->stale_terms_rejected, takeovers += r->takeovers, half += r->partial_batches,
         bytes += r->cluster_bytes;
-    tries += r->tries, crossings += r->crossings, further += r->further_tries;
+    tries += r->tries, crossings += r->cross_zone_tries, further += r->retries;
   }
   const double mean = [&] {
     double sum = 0;
@@ -148,25 +149,25 @@
   std::printf(
       "%s\n",
       fmt::format("  of invocations: late {:.2f}%, errored {:.2f}%, rate-limited {:.2f}%, no line {:.2f}%",
-                  part(all.late), part(all.errored), part(all.limited), part(all.no_line))
+                  part(all.late), part(all.errored), part(all.rate_limited), part(all.no_line))
           .c_str());
   std::vector<lab::Tally> tens;
   for (const auto& r : outcomes) {
-    tens.resize(std::max(tens.size(), r->by_ten.size()));
-    for (std::size_t k = 0; k < r->by_ten.size(); ++k) tens[k].add(r->by_ten[k]);
+    tens.resize(std::max(tens.size(), r->by_ten_seconds.size()));
+    for (std::size_t k = 0; k < r->by_ten_seconds.size(); ++k) tens[k].add(r->by_ten_seconds[k]);
   }
-  std::string by_ten;
-  for (const auto& t : tens) by_ten += fmt::format(" {:.3f}", t.service());
-  std::printf("  service by 10 s:%s\n", by_ten.c_str());
+  std::string by_ten_seconds;
+  for (const auto& t : tens) by_ten_seconds += fmt::format(" {:.3f}", t.service());
+  std::printf("  service by 10 s:%s\n", by_ten_seconds.c_str());
   for (std::size_t z = 0; z < day.zones.size(); ++z) {
     std::string parts;
     for (std::size_t ten = 0; ten * 10 < static_cast<std::size_t>(day.length.seconds()); ++ten) {
       double own = 0, every = 0;
       for (const auto& r : outcomes)
-        for (const auto& m : r->moments)
+        for (const auto& m : r->samples)
           if (m.at > 10.0 * static_cast<double>(ten) && m.at <= 10.0 * static_cast<double>(ten + 1))
-            for (std::size_t y = 0; y < m.zone_tries.size(); ++y)
-              every += m.zone_tries[y], own += y == z ? m.zone_tries[y] : 0;
+            for (std::size_t y = 0; y < m.tries_by_zone.size(); ++y)
+              every += m.tries_by_zone[y], own += y == z ? m.tries_by_zone[y] : 0;
       parts += fmt::format(" {:.3f}", every > 0 ? own / every : 0);
     }
     std::printf("%s\n", fmt::format("  part of {} by 10 s:{}", day.zones[z], parts).c_str());
@@ -195,11 +196,11 @@
         fmt::format("{} controllers", day.coordinators.size()));
   }
   double moved = 0;
-  for (const auto& r : outcomes) moved += r->moved / static_cast<double>(outcomes.size());
+  for (const auto& r : outcomes) moved += r->moved_load / static_cast<double>(outcomes.size());
   row("work moved from zone to zone, times all of it", moved, "by forwarders' tables");
   std::printf("%s", back_after(day, outcomes).c_str());
   std::printf("  runs with a broken rule: %llu\n", static_cast<unsigned long long>(broken));
-  return broken == 0 ? kWell : kRuleBroken;
+  return broken == 0 ? kExitSuccess : kExitRuleViolated;
 }
 
 }  // namespace gorsemount::app
--- a/src/app/store.cpp
+++ b/src/app/store.cpp
@@ -48,7 +48,7 @@
       const auto disk = store::open_directory(o.folder);  // refused while a coordinator has it
       for (const auto& name : disk->list()) disk->remove(name);
       disk->sync_directory();
-      return kWell;
+      return kExitSuccess;
     }
     const auto disk = store::open_directory(o.folder, true);
     if (o.action == "verify") {
@@ -61,14 +61,14 @@
                         .c_str());
         good = good && c.fault.empty() && c.snapshot_complete;
       }
-      return good ? kWell : kBadSettings;
+      return good ? kExitSuccess : kExitInvalidConfig;
     }
     const auto now = read_clocks();
     const auto loaded = store::load(*disk, s, now);
     for (const auto& fault : loaded.faults) std::fprintf(stderr, "%s\n", fault.c_str());
     if (!loaded.empty_reason.empty()) {
       std::fprintf(stderr, "%s: %s\n", o.folder.c_str(), loaded.empty_reason.c_str());
-      return kBadSettings;
+      return kExitInvalidConfig;
     }
     const bool json = o.action == "export";
     if (!json)
@@ -102,10 +102,10 @@
                                 .c_str());
       }
     }
-    return kWell;
+    return kExitSuccess;
   } catch (const std::exception& fault) {
     std::fprintf(stderr, "gorsemount: %s\n", fault.what());
-    return kFailed;
+    return kExitFailure;
   }
 }
 
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -126,7 +126,7 @@
     needs_resync_ = true;
     ended(call, why);
   };
-  if (!call.answer.fault().empty()) return resync("an answer that is no HTTP: " + call.answer.fault());
+  if (!call.answer.error().empty()) return resync("an answer that is no HTTP: " + call.answer.error());
   if (call.answer.status() == 0) return;
   if (call.answer.status() != 200) return ended(call, "status " + std::to_string(call.answer.status()));
   call.text += call.answer.take();
@@ -205,7 +205,7 @@
 // A call may be what runs now: it goes when the turn is over, and till then no other has its place in memory.
 void Watch::retire(std::unique_ptr<Call>& held) {
   loop_.cancel(held->deadline);
-  loop_.soon([gone = std::shared_ptr<Call>{std::move(held)}] {});
+  loop_.call_soon([gone = std::shared_ptr<Call>{std::move(held)}] {});
 }
 
 void Watch::ended(Call& call, const std::string& why) {
@@ -214,7 +214,7 @@
   retire(stood ? standing_ : asking_);
   if (stood && asking_) return;  // another is asked already: its outcome counts
   if (!stood && standing_) return start_later();
-  loop_.soon([this, alive = alive_, why] {
+  loop_.call_soon([this, alive = alive_, why] {
     if (*alive && !asking_ && !standing_) callbacks_.failed(why);
   });
 }
--- a/src/dns/front.cpp
+++ b/src/dns/responder.cpp
@@ -1,4 +1,4 @@
-#include "dns/front.hpp"
+#include "dns/responder.hpp"
 
 #include <fmt/format.h>
 
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-struct Front::Reply {
+struct Responder::Reply {
   Counts counts;
   Code code = Code::no_error;
   bool truncated = false;
@@ -50,7 +50,7 @@
   std::size_t limit = 0;  // bytes, the OPT record not counted
 };
 
-Front::Front(FrontSettings settings, std::shared_ptr<const coordinator::GroupMap> groups)
+Responder::Responder(ResponderSettings settings, std::shared_ptr<const coordinator::GroupMap> groups)
     : s_{std::move(settings)},
       origin_{to_wire(s_.origin)},
       hostmaster_{to_wire(s_.hostmaster)},
@@ -59,7 +59,7 @@
   for (const auto& name : s_.nameservers) nameservers_.push_back(to_wire(name));
 }
 
-void Front::make_names() {
+void Responder::make_names() {
   names_.clear();
   names_[""] = {What::apex, 0, {}};
   names_[label("w")] = names_[label("_tcp")] = {What::empty, 0, {}};
@@ -82,8 +82,8 @@
 
 // Lines as records, each with the weight that it has in this answer. `base`: where the answer section begins,
 // so that addresses can point at the targets. RFC 2782: a target's name is not compressed.
-void Front::write_srv(std::string& out, std::string& glue, std::size_t base,
-                      const std::vector<SampledLine>& drawn, const Ready& ready) const {
+void Responder::write_srv(std::string& out, std::string& glue, std::size_t base,
+                          const std::vector<SampledLine>& drawn, const Ready& ready) const {
   // Weights count among records of one priority (RFC 2782).
   std::array<double, kTiers> heaviest{};
   const auto tier_of = [&](const SampledLine& d) {
@@ -109,7 +109,7 @@
   }
 }
 
-std::shared_ptr<Front::Ready> Front::make_ready(std::shared_ptr<const RoutingView> view) const {
+std::shared_ptr<Responder::Ready> Responder::make_ready(std::shared_ptr<const RoutingView> view) const {
   auto ready = std::make_shared<Ready>();
   ready->view = std::move(view);
   ready->ttl = static_cast<std::uint32_t>(published_->lifetime.seconds());
@@ -123,7 +123,7 @@
     (known.at.address.v6 ? ready->lines_v6 : ready->lines_v4).push_back(line);
     all.push_back({k, line.weight});
   }
-  if (all.size() <= s_.lines_most) {
+  if (all.size() <= s_.max_srv_records) {
     const std::size_t base = kHeader + label("_" + s_.operations[ready->view->operation.value]).size() +
                              label("_tcp").size() + origin_.size() + 4;
     write_srv(ready->srv, ready->glue, base, all, *ready);
@@ -132,8 +132,8 @@
   return ready;
 }
 
-void Front::publish(std::shared_ptr<const PublishedState> published,
-                    std::shared_ptr<const coordinator::GroupMap> groups) {
+void Responder::publish(std::shared_ptr<const PublishedState> published,
+                        std::shared_ptr<const coordinator::GroupMap> groups) {
   const bool renamed = !published_ || published_->directory != published->directory;
   published_ = std::move(published);
   groups_ = std::move(groups);
@@ -161,7 +161,7 @@
   ready_ = std::move(next);
 }
 
-void Front::soa(Writer& w, std::uint16_t owner, std::uint32_t ttl) const {
+void Responder::soa(Writer& w, std::uint16_t owner, std::uint32_t ttl) const {
   const Name& mname = nameservers_.front();
   w.u16(owner), w.u16(static_cast<std::uint16_t>(Type::SOA)), w.u16(kIn), w.u32(ttl);
   w.u16(static_cast<std::uint16_t>(mname.size() + hostmaster_.size() + 20));
@@ -171,8 +171,8 @@
   w.u32(60), w.u32(10), w.u32(300), w.u32(s_.negative_ttl);
 }
 
-void Front::addresses(Writer& w, const Query& q, const std::vector<Endpoint>& at, std::uint32_t ttl,
-                      Reply& reply) const {
+void Responder::addresses(Writer& w, const Query& q, const std::vector<Endpoint>& at, std::uint32_t ttl,
+                          Reply& reply) const {
   for (const auto& e : at) {
     const std::string_view bytes = address_bytes(e.address);
     w.u16(kOwner), w.u16(static_cast<std::uint16_t>(q.type)), w.u16(kIn), w.u32(ttl);
@@ -183,7 +183,7 @@
 }
 
 // An operation's own name: addresses drawn by weight, and the admission level in words for clients that obey.
-void Front::answer_service(Writer& w, const Query& q, Ready& ready, Reply& reply) {
+void Responder::answer_service(Writer& w, const Query& q, Ready& ready, Reply& reply) {
   const auto& level = ready.view->level;
   if (q.type == Type::A || q.type == Type::AAAA) {
     const bool v6 = q.type == Type::AAAA;
@@ -194,7 +194,7 @@
       return;
     }
     std::vector<Endpoint> at;
-    for (const auto k : coordinator::sample_uniform(v6 ? ready.lines_v6 : ready.lines_v4, s_.addresses_most,
+    for (const auto k : coordinator::sample_uniform(v6 ? ready.lines_v6 : ready.lines_v4, s_.max_addresses,
                                                     ready.phase.next()))
       at.push_back(ready.at[places[k]]);
     addresses(w, q, at, ready.ttl, reply);
@@ -210,7 +210,7 @@
   }
 }
 
-void Front::answer_srv(Writer& w, const Query& q, Ready& ready, Reply& reply) {
+void Responder::answer_srv(Writer& w, const Query& q, Ready& ready, Reply& reply) {
   if (q.type != Type::SRV || ready.targets.empty()) {
     reply.negative = true;
     return;
@@ -229,7 +229,7 @@
   const std::string* beside = &ready.glue;
   std::uint16_t lines = ready.lines;
   if (lines == 0) {
-    const auto drawn = coordinator::sample_tiered(ready.view->lines, s_.lines_most, ready.phase.next());
+    const auto drawn = coordinator::sample_tiered(ready.view->lines, s_.max_srv_records, ready.phase.next());
     write_srv(srv, glue, w.size(), drawn, ready);
     records = &srv, beside = &glue, lines = static_cast<std::uint16_t>(drawn.size());
   }
@@ -247,8 +247,8 @@
   }
 }
 
-Front::Answered Front::answer(std::span<const std::uint8_t> in, const Address& from, bool udp,
-                              std::span<std::uint8_t> out) {
+Responder::Answered Responder::answer(std::span<const std::uint8_t> in, const Address& from, bool udp,
+                                      std::span<std::uint8_t> out) {
   Answered result;
   Query q;
   const Read read = read_query(in, q);
--- a/src/dns/front.hpp
+++ b/src/dns/responder.hpp
@@ -19,24 +19,24 @@
 
 namespace gorsemount::dns {
 
-struct FrontSettings {
+struct ResponderSettings {
   std::string origin, hostmaster;
   std::vector<std::string> nameservers;
   Address address;  // of this server, for name servers below the origin
   std::uint32_t negative_ttl = 1;
   std::uint16_t udp_size = 1232;
   std::vector<std::string> operations;
-  std::size_t lines_most = 16, addresses_most = 2;
+  std::size_t max_srv_records = 16, max_addresses = 2;
 };
 
-struct FrontCounters {
+struct ResponderCounters {
   std::uint64_t answers = 0, truncated = 0, refused = 0, format = 0, no_name = 0, rate_limited = 0,
                 dropped = 0;
 };
 
-class Front {
+class Responder {
  public:
-  Front(FrontSettings settings, std::shared_ptr<const coordinator::GroupMap> groups);
+  Responder(ResponderSettings settings, std::shared_ptr<const coordinator::GroupMap> groups);
 
   // The newest version; what it shares with the one before is not worked out again.
   void publish(std::shared_ptr<const coordinator::PublishedState> published,
@@ -49,7 +49,7 @@
   // `most`: what the transport carries; `udp`: the asker's own limit holds too.
   [[nodiscard]] Answered answer(std::span<const std::uint8_t> in, const Address& from, bool udp,
                                 std::span<std::uint8_t> out);
-  [[nodiscard]] const FrontCounters& counters() const { return counters_; }
+  [[nodiscard]] const ResponderCounters& counters() const { return counters_; }
 
  private:
   enum class What { apex, nameserver, empty, service, srv, worker };
@@ -84,14 +84,14 @@
   void addresses(Writer& w, const Query& q, const std::vector<Endpoint>& at, std::uint32_t ttl,
                  Reply& reply) const;
 
-  FrontSettings s_;
+  ResponderSettings s_;
   Name origin_, hostmaster_, workers_;
   std::vector<Name> nameservers_;
   std::shared_ptr<const coordinator::GroupMap> groups_;
   std::shared_ptr<const coordinator::PublishedState> published_;
   std::unordered_map<std::string, Entry> names_;            // by the labels before the origin
   std::vector<std::vector<std::shared_ptr<Ready>>> ready_;  // by group, by operation
-  FrontCounters counters_;
+  ResponderCounters counters_;
 };
 
 }  // namespace gorsemount::dns
--- a/src/dns/server.cpp
+++ b/src/dns/server.cpp
@@ -9,14 +9,14 @@
 
 }  // namespace
 
-Server::Server(net::Loop& loop, Front& front, ServerSettings settings, LookedUp looked_up)
+Server::Server(net::Loop& loop, Responder& responder, ServerSettings settings, LookedUp looked_up)
     : loop_{loop},
-      front_{front},
+      responder_{responder},
       s_{settings},
       looked_up_{std::move(looked_up)},
       udp_{loop, s_.listen,
            [this](std::span<const std::uint8_t> in, const Endpoint& from, std::span<std::uint8_t> out) {
-             const auto answered = front_.answer(in, from.address, true, out);
+             const auto answered = responder_.answer(in, from.address, true, out);
              if (answered.looked_up) looked_up_(*answered.looked_up);
              return answered.size;
            }},
@@ -49,7 +49,7 @@
   const auto connection = it->second;
   // What a peer has not read yet bounds what it may ask: the rest waits in its own buffers.
   if (connection->unsent() > kUnsentMost / 2) return 0;
-  const auto answered = front_.answer({raw + 2, size}, from, false, out_);
+  const auto answered = responder_.answer({raw + 2, size}, from, false, out_);
   if (answered.looked_up) looked_up_(*answered.looked_up);
   if (answered.size == 0) {
     connection->close("no question");  // nothing that could be answered: what follows can't be told apart
--- a/src/dns/server.hpp
+++ b/src/dns/server.hpp
@@ -5,7 +5,7 @@
 #include <map>
 #include <memory>
 
-#include "dns/front.hpp"
+#include "dns/responder.hpp"
 #include "net/socket.hpp"
 
 namespace gorsemount::dns {
@@ -20,11 +20,11 @@
  public:
   using LookedUp = std::function<void(ProxyId)>;
   // Throws std::system_error if it can't listen.
-  Server(net::Loop& loop, Front& front, ServerSettings settings, LookedUp looked_up);
+  Server(net::Loop& loop, Responder& responder, ServerSettings settings, LookedUp looked_up);
 
   // Answers what has come in, then closes: a TCP connection once its answers are written.
   void stop();
-  [[nodiscard]] std::uint64_t unsent() const { return udp_.dropped(); }
+  [[nodiscard]] std::uint64_t dropped_datagrams() const { return udp_.dropped(); }
   [[nodiscard]] std::uint64_t turned_away() const { return turned_away_; }
   [[nodiscard]] std::size_t connections() const { return connections_.size(); }
 
@@ -33,7 +33,7 @@
   std::size_t tcp_data(std::uint64_t number, const Address& from, std::string_view bytes);
 
   net::Loop& loop_;
-  Front& front_;
+  Responder& responder_;
   ServerSettings s_;
   LookedUp looked_up_;
   net::UdpServer udp_;
--- a/src/lab/replay/compare.cpp
+++ b/src/lab/replay/compare.cpp
@@ -74,7 +74,7 @@
 }
 
 std::vector<Played> play(const script::Day& day, const std::vector<Variant>& variants, int seeds, int jobs,
-                         const WorldSettings& world, const std::function<void(double)>& progress) {
+                         const SimulationSettings& world, const std::function<void(double)>& progress) {
   std::vector<Played> all;
   for (const auto& v : variants) {
     for (std::size_t n = 1; n <= day.coordinators.size(); ++n)
@@ -87,12 +87,12 @@
   const auto work = [&] {
     for (std::size_t k = next++; k < runs; k = next++) {
       const std::size_t v = k % variants.size(), seed = k / variants.size();
-      WorldSettings s = world;
+      SimulationSettings s = world;
       s.seed = world.seed + seed;
       s.settings = [&day, &variant = variants[v]](std::size_t n) {
         return settings_for(day, n, variant.config, variant.changes);
       };
-      all[v].outcomes[seed] = World{day, std::move(s)}.run();
+      all[v].outcomes[seed] = Simulation{day, std::move(s)}.run();
       const std::lock_guard lock{telling};
       progress(static_cast<double>(++done) / static_cast<double>(runs));
     }
@@ -109,11 +109,11 @@
         to.resize(std::max(to.size(), from.size()));
         for (std::size_t k = 0; k < from.size(); ++k) to[k].add(from[k]);
       };
-      add(p.by_operation, o.by_operation), add(p.by_zone, o.by_zone), add(p.by_ten, o.by_ten);
-      for (const auto& rule : o.broken(day)) ++broken[rule];
+      add(p.by_operation, o.by_operation), add(p.by_zone, o.by_zone), add(p.by_ten_seconds, o.by_ten_seconds);
+      for (const auto& rule : o.broken_rules(day)) ++broken[rule];
     }
-    for (const auto& t : p.by_ten)
-      if (t.asked > 0) p.worst_ten = std::min(p.worst_ten, t.service());
+    for (const auto& t : p.by_ten_seconds)
+      if (t.offered_value > 0) p.worst_ten_seconds = std::min(p.worst_ten_seconds, t.service());
     for (const auto& [rule, n] : broken)
       p.broken.push_back(fmt::format("{} (in {} of {} runs)", rule, n, seeds));
   }
@@ -147,7 +147,7 @@
   };
   const auto f = [](double v) { return fmt::format("{:.5f}", v); };
   row("service", [&](const Played& p) { return f(p.whole.service()); });
-  row("worst 10 s", [&](const Played& p) { return f(p.worst_ten); });
+  row("worst 10 s", [&](const Played& p) { return f(p.worst_ten_seconds); });
   for (std::size_t k = 0; k < day.operations.size(); ++k)
     row("service of " + day.operations[k].name,
         [&](const Played& p) { return f(p.by_operation[k].service()); });
@@ -159,7 +159,7 @@
                                         static_cast<double>(std::max<std::uint64_t>(1, p.whole.invocations)));
     });
   };
-  lost("late", &Tally::late), lost("errored", &Tally::errored), lost("rate-limited", &Tally::limited),
+  lost("late", &Tally::late), lost("errored", &Tally::errored), lost("rate-limited", &Tally::rate_limited),
       lost("no line", &Tally::no_line);
   const auto worst = [&](const std::string& what, double Outcome::*v) {
     row(what, [&](const Played& p) {
@@ -168,10 +168,11 @@
       return fmt::format("{:.3f}", most);
     });
   };
-  worst(fmt::format("1 nobody to pick, of {:.1f} s", day.unserved.seconds()), &Outcome::bare);
-  worst(fmt::format("3 after a drain, of {:.1f} s", day.drain_grace.seconds()), &Outcome::drained_sent);
-  worst(fmt::format("4 on a cold one, of {:.1f}", day.tip_multiple), &Outcome::cold_brought);
-  worst(fmt::format("5 lines waiting, of {:.0f}", day.backlog), &Outcome::waiting);
+  worst(fmt::format("1 nobody to pick, of {:.1f} s", day.unserved.seconds()), &Outcome::longest_unserved);
+  worst(fmt::format("3 after a drain, of {:.1f} s", day.drain_grace.seconds()),
+        &Outcome::longest_send_after_drain);
+  worst(fmt::format("4 on a cold one, of {:.1f}", day.tip_multiple), &Outcome::worst_cold_overload);
+  worst(fmt::format("5 lines waiting, of {:.0f}", day.backlog), &Outcome::most_waiting_lines);
   row("rules broken", [&](const Played& p) { return std::to_string(p.broken.size()); });
   if (played.size() > 1) {
     row("differs from the first", [&](const Played& p) {
@@ -199,9 +200,9 @@
   std::vector<Series> service;
   for (const auto& p : played) {
     Series s{p.name, {}};
-    for (std::size_t k = 0; k < p.by_ten.size(); ++k)
-      if (p.by_ten[k].asked > 0)
-        s.points.emplace_back(10 * static_cast<double>(k) + 5, p.by_ten[k].service());
+    for (std::size_t k = 0; k < p.by_ten_seconds.size(); ++k)
+      if (p.by_ten_seconds[k].offered_value > 0)
+        s.points.emplace_back(10 * static_cast<double>(k) + 5, p.by_ten_seconds[k].service());
     service.push_back(std::move(s));
   }
   html += plot("Service by 10 s", "s", service, 1);
@@ -210,20 +211,22 @@
     std::vector<Series> weights, tries;
     for (std::size_t z = 0; z < day.zones.size(); ++z) {
       Series w{day.zones[z], {}}, t{day.zones[z], {}};
-      for (const auto& m : first.moments)
-        w.points.emplace_back(m.at, m.zone_weight[z]), t.points.emplace_back(m.at, m.zone_tries[z]);
+      for (const auto& m : first.samples)
+        w.points.emplace_back(m.at, m.weight_by_zone[z]), t.points.emplace_back(m.at, m.tries_by_zone[z]);
       weights.push_back(std::move(w)), tries.push_back(std::move(t));
     }
     html += plot("Weights by zone, " + p.name + ", first seed", "s", weights, 0) +
             plot("Invocations a second by zone, " + p.name, "s", tries, 0);
     std::size_t worst = 0;
-    for (std::size_t k = 0; k < first.by_ten.size(); ++k)
-      if (first.by_ten[k].asked > 0 && first.by_ten[k].service() < first.by_ten[worst].service()) worst = k;
+    for (std::size_t k = 0; k < first.by_ten_seconds.size(); ++k)
+      if (first.by_ten_seconds[k].offered_value > 0 &&
+          first.by_ten_seconds[k].service() < first.by_ten_seconds[worst].service())
+        worst = k;
     html += fmt::format("<h3>What was said around the worst 10 s ({} to {} s), {}</h3><pre>", 10 * worst,
                         10 * worst + 10, escaped(p.name));
-    for (const auto& m : first.moments)
+    for (const auto& m : first.samples)
       if (m.at >= 10.0 * static_cast<double>(worst) - 3 && m.at <= 10.0 * static_cast<double>(worst) + 10)
-        for (const auto& n : m.notes) html += fmt::format("{:6.1f} s  {}\n", m.at, escaped(n));
+        for (const auto& n : m.warnings) html += fmt::format("{:6.1f} s  {}\n", m.at, escaped(n));
     html += "</pre>";
   }
   return html + "</html>\n";
--- a/src/lab/replay/compare.hpp
+++ b/src/lab/replay/compare.hpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "lab/replay/settings.hpp"
-#include "lab/world/world.hpp"
+#include "lab/simulation/simulation.hpp"
 
 namespace gorsemount::lab {
 
@@ -19,8 +19,8 @@
   std::string name;
   std::vector<Outcome> outcomes;  // by seed
   Tally whole;
-  std::vector<Tally> by_operation, by_zone, by_ten;
-  double worst_ten = 1;  // of the seeds' means
+  std::vector<Tally> by_operation, by_zone, by_ten_seconds;
+  double worst_ten_seconds = 1;  // of the seeds' means
   std::vector<std::string> broken;
 };
 // A mean of paired differences, seed by seed, with its interval at 95%.
@@ -31,7 +31,7 @@
 
 // The outcome is the same for any number of jobs. Throws std::runtime_error for settings that can't be.
 [[nodiscard]] std::vector<Played> play(const script::Day& day, const std::vector<Variant>& variants,
-                                       int seeds, int jobs, const WorldSettings& world,
+                                       int seeds, int jobs, const SimulationSettings& world,
                                        const std::function<void(double)>& progress);
 // Student's t, two-sided 95%, by degrees of freedom.
 [[nodiscard]] double t95(std::size_t degrees);
--- a/src/lab/replay/fit.cpp
+++ b/src/lab/replay/fit.cpp
@@ -225,12 +225,12 @@
   }
   double asked = 0, in_time = 0;
   std::vector<std::vector<double>> took(day.operations.size());
-  for (const auto& e : played.ended)
-    if (e.outcome == 0) took[e.operation].push_back(e.took);
+  for (const auto& e : played.completions)
+    if (e.outcome == 0) took[e.operation].push_back(e.latency);
   for (std::size_t k = 0; k < ops.size(); ++k) {
     asked += ops[k].asked, in_time += ops[k].in_time;
     c.rows.push_back(
-        {day.operations[k].name + ", value asked for", ops[k].asked, played.by_operation[k].asked});
+        {day.operations[k].name + ", value asked for", ops[k].asked, played.by_operation[k].offered_value});
     c.rows.push_back({day.operations[k].name + ", service",
                       ops[k].asked > 0 ? ops[k].in_time / ops[k].asked : 1,
                       played.by_operation[k].service()});
@@ -248,8 +248,8 @@
     for (int n = 0; n < kind.count; ++n, ++w) {
       const auto z = static_cast<std::size_t>(std::find(day.zones.begin(), day.zones.end(), kind.zone) -
                                               day.zones.begin());
-      by_zone[z] += static_cast<double>(played.worker_taken[w]),
-          sum += static_cast<double>(played.worker_taken[w]);
+      by_zone[z] += static_cast<double>(played.arrivals_by_worker[w]),
+          sum += static_cast<double>(played.arrivals_by_worker[w]);
     }
   for (std::size_t z = 0; z < day.zones.size() && all > 0; ++z) {
     c.rows.push_back({"part of " + day.zones[z], zones[day.zones[z]] / all, by_zone[z] / std::max(1.0, sum)});
@@ -265,11 +265,12 @@
   std::map<std::string, std::size_t> numbers;
   for (const auto& w : day.workers)
     for (int n = 0; n < w.count; ++n) r.workers.push_back(w.zone + "-" + std::to_string(++numbers[w.zone]));
-  std::vector<Outcome::Ended> ended = outcome.ended;
-  std::stable_sort(ended.begin(), ended.end(), [](const auto& a, const auto& b) { return a.came < b.came; });
+  std::vector<Outcome::Completion> ended = outcome.completions;
+  std::stable_sort(ended.begin(), ended.end(),
+                   [](const auto& a, const auto& b) { return a.start < b.start; });
   for (const auto& e : ended)
-    r.invocations.push_back({static_cast<std::int64_t>(e.came * 1e6),
-                             static_cast<std::uint32_t>(e.took * 1e6), e.operation, e.outcome, e.tries,
+    r.invocations.push_back({static_cast<std::int64_t>(e.start * 1e6),
+                             static_cast<std::uint32_t>(e.latency * 1e6), e.operation, e.outcome, e.tries,
                              e.proxy, e.worker});
   return r;
 }
--- a/src/lab/replay/fit.hpp
+++ b/src/lab/replay/fit.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/world/world.hpp"
+#include "lab/simulation/simulation.hpp"
 #include "record/file.hpp"
 
 namespace gorsemount::lab {
--- a/src/lab/replay/windows.cpp
+++ b/src/lab/replay/windows.cpp
@@ -44,8 +44,8 @@
   const auto n = [by](std::uint64_t k) {
     return static_cast<std::uint64_t>(std::llround(static_cast<double>(k) * by));
   };
-  return {t.asked * by, t.in_time * by, n(t.invocations), n(t.succeeded),
-          n(t.late),    n(t.errored),   n(t.limited),     n(t.no_line)};
+  return {t.offered_value * by, t.value_in_time * by, n(t.invocations), n(t.succeeded), n(t.late),
+          n(t.errored),         n(t.rate_limited),    n(t.no_line)};
 }
 
 }  // namespace
@@ -150,7 +150,8 @@
 }
 
 WindowedDay play_windows(const script::Day& day, const std::vector<Variant>& variants, const WindowPlan& plan,
-                         int jobs, const WorldSettings& world, const std::function<void(double)>& progress) {
+                         int jobs, const SimulationSettings& world,
+                         const std::function<void(double)>& progress) {
   WindowedDay result;
   result.windows = plan_windows(day, plan);
   result.whole = day.length;
@@ -168,14 +169,14 @@
   const auto work = [&] {
     for (std::size_t k = next++; k < runs; k = next++) {
       const std::size_t v = k % variants.size(), w = k / variants.size();
-      WorldSettings s = world;
+      SimulationSettings s = world;
       s.seed = world.seed * 100'003 + w;  // a window's own, the same for all variants
-      s.count_from = std::min(plan.warm, result.windows[w].from);
+      s.warm_up = std::min(plan.warm, result.windows[w].from);
       s.settings = [&day, &variant = variants[v]](std::size_t c) {
         return settings_for(day, c, variant.config, variant.changes);
       };
-      Outcome o = World{pieces[w], std::move(s)}.run();
-      o.moments.clear(), o.latency.clear();  // many windows, and nobody reads these
+      Outcome o = Simulation{pieces[w], std::move(s)}.run();
+      o.samples.clear(), o.latency.clear();  // many windows, and nobody reads these
       outcomes[v][w] = std::move(o);
       const std::lock_guard lock{telling};
       progress(static_cast<double>(++done) / static_cast<double>(runs));
@@ -199,11 +200,11 @@
         out.by_operation[k].add(scaled(o.by_operation[k], window.stands_for));
       for (std::size_t k = 0; k < o.by_zone.size(); ++k)
         out.by_zone[k].add(scaled(o.by_zone[k], window.stands_for));
-      out.worst_ten = std::min(out.worst_ten, o.worst_ten());
-      own.push_back({window.stratum, window.stands_for, o.whole.in_time, o.whole.asked});
-      beside.push_back({window.stratum, window.stands_for, o.whole.in_time - outcomes[0][w]->whole.in_time,
-                        o.whole.asked});
-      for (const auto& rule : o.broken(pieces[w])) ++broken[rule];
+      out.worst_ten_seconds = std::min(out.worst_ten_seconds, o.worst_ten_seconds());
+      own.push_back({window.stratum, window.stands_for, o.whole.value_in_time, o.whole.offered_value});
+      beside.push_back({window.stratum, window.stands_for,
+                        o.whole.value_in_time - outcomes[0][w]->whole.value_in_time, o.whole.offered_value});
+      for (const auto& rule : o.broken_rules(pieces[w])) ++broken[rule];
     }
     out.service = ratio(own), out.against_first = ratio(beside);
     for (const auto& [rule, times] : broken)
@@ -228,7 +229,8 @@
   row("service", [](const Windowed& v) { return fmt::format("{:.5f}", v.service.mean); });
   row("  95% interval, of the windows",
       [](const Windowed& v) { return fmt::format("{:.5f} to {:.5f}", v.service.low, v.service.high); });
-  row("worst 10 s of those played", [](const Windowed& v) { return fmt::format("{:.5f}", v.worst_ten); });
+  row("worst 10 s of those played",
+      [](const Windowed& v) { return fmt::format("{:.5f}", v.worst_ten_seconds); });
   for (std::size_t k = 0; k < day.operations.size(); ++k)
     row("service of " + day.operations[k].name,
         [&](const Windowed& v) { return fmt::format("{:.5f}", v.by_operation[k].service()); });
@@ -241,7 +243,7 @@
                                         static_cast<double>(std::max<std::uint64_t>(1, v.whole.invocations)));
     });
   };
-  lost("late", &Tally::late), lost("errored", &Tally::errored), lost("rate-limited", &Tally::limited),
+  lost("late", &Tally::late), lost("errored", &Tally::errored), lost("rate-limited", &Tally::rate_limited),
       lost("no line", &Tally::no_line);
   row("rules broken", [](const Windowed& v) { return std::to_string(v.broken.size()); });
   if (d.variants.size() > 1) {
--- a/src/lab/replay/windows.hpp
+++ b/src/lab/replay/windows.hpp
@@ -40,7 +40,7 @@
   Tally whole;  // scaled to the whole day
   std::vector<Tally> by_operation, by_zone;
   Difference service, against_first;  // each with its 95% interval, of the sampling of windows alone
-  double worst_ten = 1;
+  double worst_ten_seconds = 1;
   std::vector<std::string> broken;
 };
 struct WindowedDay {
@@ -50,7 +50,7 @@
 };
 // The outcome is the same for any number of jobs. Throws std::runtime_error for settings that can't be.
 [[nodiscard]] WindowedDay play_windows(const script::Day& day, const std::vector<Variant>& variants,
-                                       const WindowPlan& plan, int jobs, const WorldSettings& world,
+                                       const WindowPlan& plan, int jobs, const SimulationSettings& world,
                                        const std::function<void(double)>& progress);
 [[nodiscard]] std::string table(const script::Day& day, const WindowedDay& played);
 
--- a/src/lab/world/world.cpp
+++ b/src/lab/simulation/simulation.cpp
@@ -1,4 +1,4 @@
-#include "lab/world/world.hpp"
+#include "lab/simulation/simulation.hpp"
 
 #include <algorithm>
 #include <climits>
@@ -12,7 +12,7 @@
 #include "coordinator/answer_sampling.hpp"
 #include "coordinator/baseline.hpp"
 #include "forwarders/plan.hpp"
-#include "lab/world/worker_model.hpp"
+#include "lab/simulation/worker_model.hpp"
 #include "limits/retry_limiter.hpp"
 #include "recovery/fact_confidence.hpp"
 #include "shared_fleet/cluster_adapter.hpp"
@@ -176,27 +176,27 @@
 }  // namespace
 
 void Tally::add(const Tally& o) {
-  asked += o.asked, in_time += o.in_time, invocations += o.invocations, succeeded += o.succeeded,
-      late += o.late;
-  errored += o.errored, limited += o.limited, no_line += o.no_line;
+  offered_value += o.offered_value, value_in_time += o.value_in_time, invocations += o.invocations,
+      succeeded += o.succeeded, late += o.late;
+  errored += o.errored, rate_limited += o.rate_limited, no_line += o.no_line;
 }
 
-double Outcome::worst_ten() const {
+double Outcome::worst_ten_seconds() const {
   double worst = 1;
-  for (const auto& t : by_ten)
-    if (t.asked > 0) worst = std::min(worst, t.service());
+  for (const auto& t : by_ten_seconds)
+    if (t.offered_value > 0) worst = std::min(worst, t.service());
   return worst;
 }
 
-std::vector<std::string> Outcome::broken(const Day& day) const {
+std::vector<std::string> Outcome::broken_rules(const Day& day) const {
   std::vector<std::string> all;
-  if (bare > day.unserved.seconds()) all.emplace_back("1 nobody left without a worker");
-  if (effects_twice > 0) all.emplace_back("2 no effect twice");
-  if (drained_sent > day.drain_grace.seconds() + 0.05) all.emplace_back("3 drains kept");
-  if (fell > 0 || cold_brought > day.tip_multiple) all.emplace_back("4 no cold worker pushed over");
-  if (waiting > day.backlog) all.emplace_back("5 lines waiting in a channel");
-  if (lower_terms > 0) all.emplace_back("no order of a lower term");
-  if (two_led > 0) all.emplace_back("never two leaders");
+  if (longest_unserved > day.unserved.seconds()) all.emplace_back("1 nobody left without a worker");
+  if (duplicate_effects > 0) all.emplace_back("2 no effect twice");
+  if (longest_send_after_drain > day.drain_grace.seconds() + 0.05) all.emplace_back("3 drains kept");
+  if (fell > 0 || worst_cold_overload > day.tip_multiple) all.emplace_back("4 no cold worker pushed over");
+  if (most_waiting_lines > day.backlog) all.emplace_back("5 lines waiting in a channel");
+  if (stale_terms_accepted > 0) all.emplace_back("no order of a lower term");
+  if (double_leaders > 0) all.emplace_back("never two leaders");
   return all;
 }
 
@@ -206,10 +206,10 @@
   return s.core;
 }
 
-struct World::State {
-  State(const Day& given, WorldSettings settings)
+struct Simulation::State {
+  State(const Day& given, SimulationSettings settings)
       : day{given}, s{std::move(settings)}, chance{static_cast<std::uint32_t>(s.seed)} {
-    s.keeps = s.keeps || day.keeps;
+    s.keep_store = s.keep_store || day.keeps;
   }
 
   // ---- Time ----------------------------------------------------------------------------------------------
@@ -290,11 +290,11 @@
     }
     last_used.assign(proxies.size() * workers.size(), Instant{});
     groups_bare.resize(zones * ops);
-    out.by_operation.resize(ops), out.by_zone.resize(zones), out.worker_taken.resize(workers.size());
+    out.by_operation.resize(ops), out.by_zone.resize(zones), out.arrivals_by_worker.resize(workers.size());
     for (std::size_t n = 1; n <= day.coordinators.size(); ++n) {
       Host& h = hosts.emplace_back();
       h.number = n, h.zone = zone_of(day.coordinators[n - 1]);
-      h.rate = 1 + s.drift * (uniform() - 0.5), h.offset = s.drift > 0 ? 1000 * uniform() : 0;
+      h.rate = 1 + s.clock_drift * (uniform() - 0.5), h.offset = s.clock_drift > 0 ? 1000 * uniform() : 0;
       start(h);
     }
     for (std::size_t p = 0; p < proxies.size(); ++p) next_ask(static_cast<std::uint32_t>(p));
@@ -350,9 +350,9 @@
   }
 
   [[nodiscard]] coordinator::DecisionMaker decide(const coordinator::Settings& settings) const {
-    if (s.decider == Decider::fixed_weights) return coordinator::fixed_weights();
-    return s.decider == Decider::zone_local ? coordinator::zone_local()
-                                            : coordinator::policy_decision_maker(settings);
+    if (s.decision_maker == DecisionMakerKind::fixed_weights) return coordinator::fixed_weights();
+    return s.decision_maker == DecisionMakerKind::zone_local ? coordinator::zone_local()
+                                                             : coordinator::policy_decision_maker(settings);
   }
 
   // ---- Coordinators --------------------------------------------------------------------------------------
@@ -363,7 +363,8 @@
     h.published.reset(), h.ids.assign(workers.size(), std::nullopt), h.asking.assign(workers.size(), false);
     h.streams.assign(fronts.size(), {});
     auto settings = s.settings ? s.settings(h.number) : settings_of(day, h.number);
-    if (s.decider != Decider::module) settings.spill = false;  // what it is to be compared with
+    if (s.decision_maker != DecisionMakerKind::policy)
+      settings.spill = false;  // what it is to be compared with
     h.core = std::make_unique<Coordinator>(settings, decide(settings));
     h.ids_of_fronts.assign(fronts.size(), 0), h.fronts.clear();
     for (std::size_t k = 0; k < settings.forwarders.size(); ++k)
@@ -378,7 +379,7 @@
         c.members.push_back(cluster::MemberId{static_cast<std::uint16_t>(k)});
       c.shards = std::max<std::size_t>(6, fronts.size() / 12);
       c.term_floor = {static_cast<std::uint64_t>(1000 + (now - begin).micros() / 1000)};
-      c.lease.duration = day.lease, c.lease.max_clock_drift = std::max(0.01, s.drift);
+      c.lease.duration = day.lease, c.lease.max_clock_drift = std::max(0.01, s.clock_drift);
       c.lease.renew_before = day.lease * 0.67, c.lease.retry_interval = day.lease * 0.1;
       c.seed = s.seed * 31 + h.number;
       h.cluster = std::make_unique<cluster::Cluster>(c, local(h));
@@ -386,7 +387,7 @@
       after(Span{}, What::cluster_wake, index(h), ++h.cluster_wake);
       after(Span::seconds(0.25 * uniform()), What::tell, index(h), h.life);
     }
-    if (s.keeps && h.kept_at) {
+    if (s.keep_store && h.kept_at) {
       auto entries = h.kept;
       const Instant confirmed = local(h) - (now - *h.kept_at) * h.rate;
       // As it stands on this life's clock.
@@ -398,7 +399,7 @@
       after(load_every(h) * (static_cast<double>(k) / kBuckets), What::poll, index(h),
             static_cast<std::uint32_t>(k), h.life);
     after(settings.report_every, What::report, index(h), h.life);
-    if (s.keeps) after(s.written_every, What::write_down, index(h), h.life);
+    if (s.keep_store) after(s.written_every, What::write_down, index(h), h.life);
     if (!day.shared)
       for (std::size_t f = 0; f < fronts.size(); ++f)
         if (fronts[f].led_by == h.number) open_stream(h, f, std::nullopt, false);
@@ -448,16 +449,17 @@
     const auto effects = h.core->step(t, inputs);
     if (s.on_step) s.on_step(h.number, t, inputs, effects);
     if (effects.published) h.published = effects.published;
-    for (const auto& m : effects.messages) out.waiting = std::max(out.waiting, m.waiting);
+    for (const auto& m : effects.messages)
+      out.most_waiting_lines = std::max(out.most_waiting_lines, m.waiting);
     for (const auto& d : effects.deliveries) {
       const std::size_t f = front_of(h, d.forwarder);
       h.streams[f].wanted = d.table;
       advance(h, f);
     }
     for (const auto& n : effects.log_events)
-      if (!out.moments.empty() && out.moments.back().notes.size() < 20 &&
+      if (!out.samples.empty() && out.samples.back().warnings.size() < 20 &&
           n.severity == coordinator::LogEvent::Severity::warning)
-        out.moments.back().notes.push_back(n.event);
+        out.samples.back().warnings.push_back(n.event);
     at(truth(h, effects.next_wakeup), What::wake, index(h), ++h.wake);
   }
 
@@ -536,7 +538,7 @@
     st.up = true;
     if (h.cluster && p.highest > 0)
       h.cluster->observe_term(local(h), h.part->shard_of(proxy_id(h, f), h.core->settings()), {p.highest});
-    if (st.term && s.fences) p.highest = std::max(p.highest, *st.term);
+    if (st.term && s.fencing) p.highest = std::max(p.highest, *st.term);
     out.takeovers += st.taken_over ? 1 : 0;
     std::map<std::string, double> holds;
     for (const auto& [key, line] : p.held.lines)
@@ -578,16 +580,16 @@
     Proxy& p = proxies[b.proxy];
     if (p.fault == InjectedFaultKind::forwarder_refuse) return;
     if (b.term) {
-      if (*b.term < p.highest && s.fences) {
-        ++out.terms_refused;
+      if (*b.term < p.highest && s.fencing) {
+        ++out.stale_terms_rejected;
         return;
       }
-      if (*b.term < obeyed[b.proxy]) ++out.lower_terms;
+      if (*b.term < obeyed[b.proxy]) ++out.stale_terms_accepted;
       obeyed[b.proxy] = std::max(obeyed[b.proxy], *b.term);
       p.highest = std::max(p.highest, *b.term);
     }
     std::size_t upto = b.changes.size();
-    if (b.cut) upto = chance() % (b.changes.size() + 1), ++out.half_changes;
+    if (b.cut) upto = chance() % (b.changes.size() + 1), ++out.partial_batches;
     for (std::size_t k = 0; k < upto; ++k) forwarders::apply(p.held, b.changes[k]);
     read_table(p);
     if (!b.cut) after(between(hosts[b.host].zone, p.zone), What::batch_done, b.host, b.proxy, b.life);
@@ -738,17 +740,17 @@
     inv.operation = static_cast<std::uint8_t>(pick_operation(proxies[p].demand));
     inv.work = static_cast<float>(0.6 + 0.8 * std::uniform_real_distribution<>{}(proxies[p].demand));
     const double value = day.operations[inv.operation].billed_value;
-    for (Tally* t : tallies(inv)) t->asked += value, ++t->invocations;
+    for (Tally* t : tallies(inv)) t->offered_value += value, ++t->invocations;
     second_of(inv).first += value;
-    if (s.decider == Decider::oracle) look_through();
+    if (s.decision_maker == DecisionMakerKind::oracle) look_through();
     enter(n);
   }
   [[nodiscard]] std::array<Tally*, 4> tallies(const Invocation& inv) {
-    if (inv.came < begin + s.count_from) return {&uncounted, &uncounted, &uncounted, &uncounted};
+    if (inv.came < begin + s.warm_up) return {&uncounted, &uncounted, &uncounted, &uncounted};
     const auto ten = static_cast<std::size_t>((inv.came - begin).seconds() / 10);
-    if (out.by_ten.size() <= ten) out.by_ten.resize(ten + 1);
+    if (out.by_ten_seconds.size() <= ten) out.by_ten_seconds.resize(ten + 1);
     return {&out.whole, &out.by_operation[inv.operation], &out.by_zone[proxies[inv.proxy].zone],
-            &out.by_ten[ten]};
+            &out.by_ten_seconds[ten]};
   }
 
   std::pair<double, double>& second_of(const Invocation& inv) {
@@ -763,16 +765,17 @@
     if (!inv.open) return;
     const double value = day.operations[inv.operation].billed_value;
     for (Tally* t : tallies(inv)) {
-      if (end == End::succeeded) t->in_time += value, ++t->succeeded;
-      t->late += end == End::late, t->errored += end == End::errored, t->limited += end == End::limited,
+      if (end == End::succeeded) t->value_in_time += value, ++t->succeeded;
+      t->late += end == End::late, t->errored += end == End::errored, t->rate_limited += end == End::limited,
           t->no_line += end == End::no_line;
     }
     if (end == End::succeeded) second_of(inv).second += value;
-    if (s.list)
-      out.ended.push_back({(inv.came - begin).seconds(), (now - inv.came).seconds(), inv.operation,
-                           static_cast<std::uint8_t>(end), std::max(inv.inner, inv.outer),
-                           static_cast<std::uint16_t>(inv.proxy),
-                           inv.ntried > 0 ? static_cast<std::uint16_t>(inv.worker) : std::uint16_t{65535}});
+    if (s.list_completions)
+      out.completions.push_back(
+          {(inv.came - begin).seconds(), (now - inv.came).seconds(), inv.operation,
+           static_cast<std::uint8_t>(end), std::max(inv.inner, inv.outer),
+           static_cast<std::uint16_t>(inv.proxy),
+           inv.ntried > 0 ? static_cast<std::uint16_t>(inv.worker) : std::uint16_t{65535}});
     inv.open = false, ++inv.generation, ++inv.round;
     free.push_back(n);
   }
@@ -804,7 +807,7 @@
     return true;
   }
   std::optional<std::uint32_t> draw(const Proxy& p, const Invocation& inv) {
-    const auto& picks = s.decider == Decider::oracle ? oracle : p.picks[inv.operation];
+    const auto& picks = s.decision_maker == DecisionMakerKind::oracle ? oracle : p.picks[inv.operation];
     if (picks.empty()) return {};
     const auto fits = [&](std::uint32_t w) {
       for (std::size_t k = 0; k < inv.ntried; ++k)
@@ -860,8 +863,8 @@
     if (inv.ntried < inv.tried.size()) inv.tried[inv.ntried++] = static_cast<std::uint16_t>(w);
     ++inv.inner, ++inv.generation, inv.worker = w;
     ++out.tries;
-    out.further_tries += inv.inner + inv.outer > 2 || (p.forwarder && inv.inner > 1) ? 1 : 0;
-    out.crossings += p.zone != workers[w].kind().zone ? 1 : 0;
+    out.retries += inv.inner + inv.outer > 2 || (p.forwarder && inv.inner > 1) ? 1 : 0;
+    out.cross_zone_tries += p.zone != workers[w].kind().zone ? 1 : 0;
     at(now + patience, What::try_over, n, inv.generation);
     if (is_cut(p.zone, workers[w].kind().zone)) return;
     after(way_to(p.zone, workers[w].kind().zone), What::arrive, n, inv.generation);
@@ -884,7 +887,7 @@
       return;
     }
     if (!since) since = now;
-    out.bare = std::max(out.bare, (now - *since).seconds());
+    out.longest_unserved = std::max(out.longest_unserved, (now - *since).seconds());
   }
   [[nodiscard]] bool warm_listed() {
     for (std::size_t w = 0; w < workers.size(); ++w)
@@ -900,10 +903,10 @@
     const Span back = way_to(worker.kind().zone, p.zone);
     if (!worker.up())
       return after(back, What::answer, n, inv.generation, static_cast<std::uint32_t>(Reply::refused));
-    ++out.worker_taken[w];
+    ++out.arrivals_by_worker[w];
     if (p.obeys && told_draining[w] && (!p.forwarder || led(inv.proxy)))
-      out.drained_sent = std::max(
-          out.drained_sent,
+      out.longest_send_after_drain = std::max(
+          out.longest_send_after_drain,
           (now - std::max(*told_draining[w], p.forwarder ? joined_at[inv.proxy] : Instant{})).seconds());
     WorkerModel::Job job;
     job.invocation = n, job.generation = inv.generation, job.operation = inv.operation, job.came = now;
@@ -942,7 +945,7 @@
           (!h.cluster ||
            h.cluster->held_term(h.part->shard_of(proxy_id(h, f), h.core->settings()), local(h)))) {
         if (auto& since = proxies[f].unled_since; since)
-          out.unled.push_back((now - *since).seconds()), since.reset();
+          out.leaderless_times.push_back((now - *since).seconds()), since.reset();
         proxies[f].was_led = true;
         return true;
       }
@@ -958,7 +961,8 @@
     for (const auto& job : began_now) {
       if (!there(job)) continue;
       Invocation& inv = invocations[job.invocation];
-      if (++inv.begun > 1 && day.operations[inv.operation].effect == "side-effecting") ++out.effects_twice;
+      if (++inv.begun > 1 && day.operations[inv.operation].effect == "side-effecting")
+        ++out.duplicate_effects;
     }
   }
   void schedule(std::uint32_t w) {
@@ -1104,7 +1108,7 @@
         after(s.latency, What::answer, job.invocation, job.generation,
               static_cast<std::uint32_t>(Reply::broken));
     ++finishes[w];
-    out.cold_brought = std::max(out.cold_brought, workers[w].worst_brought());
+    out.worst_cold_overload = std::max(out.worst_cold_overload, workers[w].worst_brought());
   }
   void tell_roster() {
     if (stale) return;
@@ -1236,7 +1240,7 @@
           leaders[k] +=
               h.cluster->held_term(cluster::ShardId{static_cast<std::uint16_t>(k)}, local(h)) ? 1 : 0;
       }
-      for (const auto& [shard, n] : leaders) out.two_led += n > 1 ? 1 : 0;
+      for (const auto& [shard, n] : leaders) out.double_leaders += n > 1 ? 1 : 0;
     }
     for (std::size_t f = 0; f < fronts.size(); ++f) static_cast<void>(led(static_cast<std::uint32_t>(f)));
     for (std::size_t f = 0; f < fronts.size(); ++f)
@@ -1245,21 +1249,22 @@
     if (now < begin + day.length) after(Span::seconds(0.02), What::watch);
   }
   void second() {
-    Outcome::Moment m;
+    Outcome::SecondSample m;
     m.at = (now - begin).seconds();
-    m.zone_weight.assign(day.zones.size(), 0), m.zone_tries.assign(day.zones.size(), 0);
+    m.weight_by_zone.assign(day.zones.size(), 0), m.tries_by_zone.assign(day.zones.size(), 0);
     for (const auto& h : hosts)
       if (h.up) {
-        for (const auto& b : h.core->backends()) m.zone_weight[zone_of(b.zone)] += b.weight;
+        for (const auto& b : h.core->backends()) m.weight_by_zone[zone_of(b.zone)] += b.weight;
         break;
       }
     last_taken.resize(workers.size());
     for (std::size_t w = 0; w < workers.size(); ++w) {
-      m.zone_tries[workers[w].kind().zone] += static_cast<double>(out.worker_taken[w] - last_taken[w]);
-      last_taken[w] = out.worker_taken[w];
-      out.cold_brought = std::max(out.cold_brought, workers[w].worst_brought());
+      m.tries_by_zone[workers[w].kind().zone] +=
+          static_cast<double>(out.arrivals_by_worker[w] - last_taken[w]);
+      last_taken[w] = out.arrivals_by_worker[w];
+      out.worst_cold_overload = std::max(out.worst_cold_overload, workers[w].worst_brought());
     }
-    out.moments.push_back(std::move(m));
+    out.samples.push_back(std::move(m));
     follow_load();
     after(Span::seconds(1), What::second);
   }
@@ -1283,7 +1288,7 @@
           differ += std::abs(parts[f * zones + z] - zone_parts[f * zones + z]) / 2;
       moved += differ * proxies[f].rate;
     }
-    if (all > 0) out.moved += moved / all;
+    if (all > 0) out.moved_load += moved / all;
     zone_parts = std::move(parts);
   }
   void churn() {
@@ -1478,12 +1483,13 @@
       take(e);
     }
     now = end;
-    for (const auto& w : workers) out.cold_brought = std::max(out.cold_brought, w.worst_brought());
+    for (const auto& w : workers)
+      out.worst_cold_overload = std::max(out.worst_cold_overload, w.worst_brought());
     return std::move(out);
   }
 
   const Day day;
-  WorldSettings s;
+  SimulationSettings s;
   std::mt19937 chance;
   const Instant begin = Instant::at_seconds(1000);
   Instant now;
@@ -1529,9 +1535,9 @@
   Outcome out;
 };
 
-World::World(const Day& day, WorldSettings settings)
+Simulation::Simulation(const Day& day, SimulationSettings settings)
     : state_{std::make_unique<State>(day, std::move(settings))} {}
-World::~World() = default;
-Outcome World::run() { return state_->run(); }
+Simulation::~Simulation() = default;
+Outcome Simulation::run() { return state_->run(); }
 
 }  // namespace gorsemount::lab
--- a/src/lab/world/worker_model.cpp
+++ b/src/lab/simulation/worker_model.cpp
@@ -1,4 +1,4 @@
-#include "lab/world/worker_model.hpp"
+#include "lab/simulation/worker_model.hpp"
 
 #include <algorithm>
 
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -93,7 +93,7 @@
   }
   std::size_t body_most;
   std::optional<http::parser<Kind<Message>::request, http::string_body>> wire;
-  std::string fault;
+  std::string error;
 };
 
 template <class Message>
@@ -107,12 +107,12 @@
 
 template <class Message>
 std::size_t HttpReader<Message>::feed(std::string_view bytes) {
-  return feed_parser(*parser_->wire, parser_->fault, bytes);
+  return feed_parser(*parser_->wire, parser_->error, bytes);
 }
 
 template <class Message>
 std::optional<Message> HttpReader<Message>::take() {
-  if (!parser_->fault.empty() || !parser_->wire->is_done()) return {};
+  if (!parser_->error.empty() || !parser_->wire->is_done()) return {};
   Message out;
   Kind<Message>::copy(out, parser_->wire->release());
   parser_->fresh();
@@ -120,8 +120,8 @@
 }
 
 template <class Message>
-const std::string& HttpReader<Message>::fault() const {
-  return parser_->fault;
+const std::string& HttpReader<Message>::error() const {
+  return parser_->error;
 }
 
 template <class Message>
@@ -148,9 +148,9 @@
   if (connection_) connection_->abort();
 }
 
-void HttpClient::ask(Request request, Span timeout, Done done) {
+void HttpClient::send(Request request, Span timeout, Done done) {
   done_ = std::move(done);
-  asked_ = loop_.now();
+  requested_at_ = loop_.now();
   bytes_ = write(request, to_.text());
   sent_ = false;
   timeout_ = loop_.after(timeout, [this] { end(Outcome::timed_out); });
@@ -189,14 +189,15 @@
     return 0;
   }
   const std::size_t used = reader_.feed(bytes);
-  if (!reader_.fault().empty()) {
-    end(Outcome::garbled, reader_.fault());
+  if (!reader_.error().empty()) {
+    end(Outcome::garbled, reader_.error());
     return 0;
   }
   if (auto response = reader_.take()) {
     loop_.cancel(timeout_);
     if (!response->keep_alive && connection_->open()) connection_->abort();
-    Result result{Outcome::answered, std::move(*response), asked_, monotonic_now() - asked_, {}, true};
+    Result result{
+        Outcome::answered, std::move(*response), requested_at_, monotonic_now() - requested_at_, {}, true};
     std::exchange(done_, {})(std::move(result));
   }
   return used;
@@ -207,7 +208,8 @@
   attempt_.reset();
   if (connection_) connection_->abort();
   if (done_)
-    std::exchange(done_, {})(Result{outcome, {}, asked_, monotonic_now() - asked_, std::move(why), sent_});
+    std::exchange(done_, {})(
+        Result{outcome, {}, requested_at_, monotonic_now() - requested_at_, std::move(why), sent_});
 }
 
 }  // namespace gorsemount::net
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -43,7 +43,7 @@
   HttpReader& operator=(HttpReader&&) noexcept;
   std::size_t feed(std::string_view bytes);
   [[nodiscard]] std::optional<Message> take();     // the message, once whole
-  [[nodiscard]] const std::string& fault() const;  // not empty: the peer does not speak HTTP
+  [[nodiscard]] const std::string& error() const;  // not empty: the peer does not speak HTTP
   // The peer closed; true if that ends a message whole.
   bool end();
 
@@ -61,8 +61,8 @@
   struct Result {
     Outcome outcome = Outcome::answered;
     Response response;
-    Instant asked;
-    Span took;
+    Instant requested_at;
+    Span latency;
     std::string why;    // of what was garbled
     bool sent = false;  // the request may have reached the peer
   };
@@ -74,7 +74,7 @@
   HttpClient& operator=(const HttpClient&) = delete;
 
   // Not while busy().
-  void ask(Request request, Span timeout, Done done);
+  void send(Request request, Span timeout, Done done);
   [[nodiscard]] bool busy() const { return static_cast<bool>(done_); }
   [[nodiscard]] bool connected() const { return connection_ && connection_->open(); }
 
@@ -92,7 +92,7 @@
   HttpReader<Response> reader_;
   std::string bytes_;
   Done done_;
-  Instant asked_;
+  Instant requested_at_;
   bool sent_ = false, reused_ = false;
   Loop::Timer timeout_;
 };
--- a/src/net/http_stream.cpp
+++ b/src/net/http_stream.cpp
@@ -17,14 +17,14 @@
     wire.body_limit(boost::none);  // it goes on as long as the connection; who takes it bounds a part
   }
   http::response_parser<http::string_body> wire;
-  std::string fault;
+  std::string error;
 };
 
 HttpStream::HttpStream() : parser_{std::make_unique<Parser>()} {}
 HttpStream::~HttpStream() = default;
 
 std::size_t HttpStream::feed(std::string_view bytes) {
-  return feed_parser(parser_->wire, parser_->fault, bytes);
+  return feed_parser(parser_->wire, parser_->error, bytes);
 }
 
 void HttpStream::end() {
@@ -40,6 +40,6 @@
 
 bool HttpStream::done() const { return parser_->wire.is_done(); }
 
-const std::string& HttpStream::fault() const { return parser_->fault; }
+const std::string& HttpStream::error() const { return parser_->error; }
 
 }  // namespace gorsemount::net
--- a/src/net/http_stream.hpp
+++ b/src/net/http_stream.hpp
@@ -20,7 +20,7 @@
   [[nodiscard]] unsigned status() const;  // 0: the headers have not all come
   [[nodiscard]] std::string take();       // the body's bytes since the last call
   [[nodiscard]] bool done() const;        // the body is whole
-  [[nodiscard]] const std::string& fault() const;  // not empty: the peer does not speak HTTP
+  [[nodiscard]] const std::string& error() const;  // not empty: the peer does not speak HTTP
 
  private:
   struct Parser;
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -35,8 +35,8 @@
   void unwatch(int fd);  // safe from within any handler
   Timer at(Instant when, Task task);
   Timer after(Span span, Task task) { return at(now() + span, std::move(task)); }
-  void cancel(Timer& timer);                                   // of one that has fired, or none: does nothing
-  void soon(Task task) { tasks_.push_back(std::move(task)); }  // in the next turn
+  void cancel(Timer& timer);  // of one that has fired, or none: does nothing
+  void call_soon(Task task) { tasks_.push_back(std::move(task)); }  // in the next turn
   // From any thread: in a turn soon, on the loop's.
   void post(Task task);
   // Blocks the signal's usual effect. Throws std::system_error.
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -157,7 +157,7 @@
 void UdpServer::work() {
   for (int k = 0; k < kTurns; ++k)
     if (!batch()) return;
-  loop_.soon([this, alive = alive_] {
+  loop_.call_soon([this, alive = alive_] {
     if (*alive) work();
   });
 }
@@ -259,7 +259,7 @@
   for (int reads = 0; fd_; ++reads) {
     if (reads == kReads) {  // a peer that sends as fast as it is read gets its turn and no more
       if (!std::exchange(more_, true))
-        loop_.soon([weak = weak_from_this()] {
+        loop_.call_soon([weak = weak_from_this()] {
           if (const auto strong = weak.lock()) strong->more_ = false, strong->read_all();
         });
       break;
@@ -330,7 +330,7 @@
   }
   if (paused_ && unsent() <= limits_.write_most / 2) {
     paused_ = false;
-    loop_.soon([weak = weak_from_this()] {
+    loop_.call_soon([weak = weak_from_this()] {
       if (const auto strong = weak.lock(); strong && strong->fd_) strong->offer(), strong->read_all();
     });
   }
@@ -383,7 +383,7 @@
 void Listener::work() {
   const auto alive = alive_;
   if (accept_some() && *alive)
-    loop_.soon([this, alive] {  // a flood gets its turn and no more
+    loop_.call_soon([this, alive] {  // a flood gets its turn and no more
       if (*alive) work();
     });
 }
@@ -434,8 +434,8 @@
 
 // Tells the outcome in the next turn, never from within the call.
 std::shared_ptr<void> outcome(const std::shared_ptr<Attempt>& attempt, Fd fd, int fault, Done done) {
-  attempt->loop.soon([weak = std::weak_ptr<Attempt>{attempt}, done = std::move(done), fault,
-                      held = std::make_shared<Fd>(std::move(fd))] {
+  attempt->loop.call_soon([weak = std::weak_ptr<Attempt>{attempt}, done = std::move(done), fault,
+                           held = std::make_shared<Fd>(std::move(fd))] {
     if (weak.lock()) done(std::move(*held), fault);
   });
   return attempt;
--- a/src/hears/load_reply.cpp
+++ b/src/probes/load_reply.cpp
@@ -1,9 +1,9 @@
-#include "hears/load_reply.hpp"
+#include "probes/load_reply.hpp"
 
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-namespace gorsemount::hears {
+namespace gorsemount::probes {
 
 namespace {
 
@@ -97,4 +97,4 @@
   }
 }
 
-}  // namespace gorsemount::hears
+}  // namespace gorsemount::probes
--- a/src/hears/load_reply.hpp
+++ b/src/probes/load_reply.hpp
@@ -8,11 +8,11 @@
 
 #include "coordinator/types.hpp"
 
-namespace gorsemount::hears {
+namespace gorsemount::probes {
 
 // The sample, or what is wrong with the text and where. Unknown keys and operations are passed over: workers
 // may say and do more than we know.
 [[nodiscard]] std::variant<coordinator::LoadSample, std::string> read_load(
     const std::string& text, const std::vector<coordinator::OperationInfo>& operations);
 
-}  // namespace gorsemount::hears
+}  // namespace gorsemount::probes
--- a/src/hears/prober.cpp
+++ b/src/probes/prober.cpp
@@ -1,10 +1,10 @@
-#include "hears/prober.hpp"
+#include "probes/prober.hpp"
 
 #include <cmath>
 
-#include "hears/load_reply.hpp"
+#include "probes/load_reply.hpp"
 
-namespace gorsemount::hears {
+namespace gorsemount::probes {
 
 namespace {
 
@@ -26,7 +26,7 @@
     : loop_{loop}, s_{std::move(settings)}, report_{std::move(report)} {}
 Prober::~Prober() = default;
 
-void Prober::follow(const std::map<BackendId, Endpoint>& backends) {
+void Prober::set_backends(const std::map<BackendId, Endpoint>& backends) {
   std::erase_if(asked_, [&](const auto& row) {
     const auto it = backends.find(row.first);
     return it == backends.end() || it->second != row.second->at;
@@ -45,7 +45,7 @@
 }
 
 void Prober::health(BackendId id) {
-  asked_.at(id)->health.ask(
+  asked_.at(id)->health.send(
       {"GET", s_.health_path, {}, {}, true}, s_.health_timeout, [this, id](net::HttpClient::Result r) {
         using Outcome = net::HttpClient::Outcome;
         const bool well = r.outcome == Outcome::answered && r.response.status == 200;
@@ -53,8 +53,8 @@
                             : r.outcome == Outcome::refused ? coordinator::Health::refused
                                                             : coordinator::Health::failed;
         // One failed call proves little: more follow soon, so that the next round can tell.
-        health_in(id, well ? std::max(Span{}, s_.health_every - r.took) : s_.health_again);
-        report_(coordinator::HealthCheckResult{id, health, r.took});
+        health_in(id, well ? std::max(Span{}, s_.health_every - r.latency) : s_.health_again);
+        report_(coordinator::HealthCheckResult{id, health, r.latency});
       });
 }
 
@@ -68,18 +68,19 @@
   Asked& asked = *asked_.at(id);
   asked.next_load = loop_.after(s_.load_every, [this, id] { load(id); });
   if (asked.load.busy()) return;
-  asked.load.ask({"GET", s_.load_path, {}, {}, true}, s_.load_timeout, [this, id](net::HttpClient::Result r) {
-    if (r.outcome != net::HttpClient::Outcome::answered)
-      return report_(coordinator::LoadPollFailed{id, net::name_of(r.outcome)});
-    if (r.response.status != 200)
-      return report_(coordinator::LoadPollFailed{id, "status " + std::to_string(r.response.status)});
-    auto read = read_load(r.response.body, s_.operations);
-    if (auto* sample = std::get_if<coordinator::LoadSample>(&read)) {
-      report_(coordinator::LoadReport{id, r.asked, std::move(*sample)});
-    } else {
-      report_(coordinator::LoadPollFailed{id, std::get<std::string>(read)});
-    }
-  });
+  asked.load.send(
+      {"GET", s_.load_path, {}, {}, true}, s_.load_timeout, [this, id](net::HttpClient::Result r) {
+        if (r.outcome != net::HttpClient::Outcome::answered)
+          return report_(coordinator::LoadPollFailed{id, net::name_of(r.outcome)});
+        if (r.response.status != 200)
+          return report_(coordinator::LoadPollFailed{id, "status " + std::to_string(r.response.status)});
+        auto read = read_load(r.response.body, s_.operations);
+        if (auto* sample = std::get_if<coordinator::LoadSample>(&read)) {
+          report_(coordinator::LoadReport{id, r.requested_at, std::move(*sample)});
+        } else {
+          report_(coordinator::LoadPollFailed{id, std::get<std::string>(read)});
+        }
+      });
 }
 
-}  // namespace gorsemount::hears
+}  // namespace gorsemount::probes
--- a/src/hears/prober.hpp
+++ b/src/probes/prober.hpp
@@ -9,7 +9,7 @@
 #include "coordinator/types.hpp"
 #include "net/http.hpp"
 
-namespace gorsemount::hears {
+namespace gorsemount::probes {
 
 struct ProberSettings {
   std::string health_path, load_path;
@@ -26,7 +26,7 @@
   Prober& operator=(const Prober&) = delete;
 
   // Follows the list: asks whoever is new, forgets whoever is not in it.
-  void follow(const std::map<BackendId, Endpoint>& backends);
+  void set_backends(const std::map<BackendId, Endpoint>& backends);
 
  private:
   struct Asked;
@@ -40,4 +40,4 @@
   std::map<BackendId, std::unique_ptr<Asked>> asked_;
 };
 
-}  // namespace gorsemount::hears
+}  // namespace gorsemount::probes
--- a/src/standins/client.cpp
+++ b/src/standins/client.cpp
@@ -141,7 +141,7 @@
   const Span remaining = operation.integration_timeout - (loop_.now() - invocation.started_at);
   auto* raw = http.get();
   auto held = std::make_shared<std::unique_ptr<net::HttpClient>>(std::move(http));
-  raw->ask(
+  raw->send(
       {"POST", "/invoke/" + operation.name, {}, invocation.id, true},
       std::max(Span::seconds(0.001), std::min(remaining, operation.integration_timeout * kTryTimeoutShare)),
       [this, number, to, held](net::HttpClient::Result result) {
@@ -149,7 +149,7 @@
           pool_[to].push_back(std::move(*held));
         } else {
           // Deferred, since the client must not be destroyed within its own callback.
-          loop_.soon([gone = std::make_shared<std::unique_ptr<net::HttpClient>>(std::move(*held))] {});
+          loop_.call_soon([gone = std::make_shared<std::unique_ptr<net::HttpClient>>(std::move(*held))] {});
         }
         on_reply(number, to, result);
       });
--- a/src/standins/forwarder.cpp
+++ b/src/standins/forwarder.cpp
@@ -91,7 +91,7 @@
           const auto strong = weak.lock();
           if (!strong) return bytes.size();
           const std::size_t used = strong->reader.feed(bytes);
-          if (!strong->reader.fault().empty()) {
+          if (!strong->reader.error().empty()) {
             strong->connection->abort();
             return bytes.size();
           }
@@ -336,16 +336,16 @@
   auto* raw = http.get();
   auto held = std::make_shared<std::unique_ptr<net::HttpClient>>(std::move(http));
   const Span remaining = operation.integration_timeout * 0.8 - (loop_.now() - call->arrived_at);
-  raw->ask({"POST", "/invoke/" + operation.name, {}, call->id, true},
-           std::max(Span::seconds(0.001), remaining),
-           [this, call, key, to, held](net::HttpClient::Result result) {
-             if (result.outcome == net::HttpClient::Outcome::answered) {
-               pool_[to].push_back(std::move(*held));
-             } else {
-               loop_.soon([gone = std::make_shared<std::unique_ptr<net::HttpClient>>(std::move(*held))] {});
-             }
-             on_reply(call, key, result);
-           });
+  raw->send(
+      {"POST", "/invoke/" + operation.name, {}, call->id, true}, std::max(Span::seconds(0.001), remaining),
+      [this, call, key, to, held](net::HttpClient::Result result) {
+        if (result.outcome == net::HttpClient::Outcome::answered) {
+          pool_[to].push_back(std::move(*held));
+        } else {
+          loop_.call_soon([gone = std::make_shared<std::unique_ptr<net::HttpClient>>(std::move(*held))] {});
+        }
+        on_reply(call, key, result);
+      });
 }
 
 void Forwarder::on_reply(const std::shared_ptr<Call>& call, const Key& key,
@@ -360,7 +360,7 @@
     if (succeeded) {
       line.consecutive_failures = 0;
       line.latency =
-          line.latency == 0 ? result.took.seconds() : 0.9 * line.latency + 0.1 * result.took.seconds();
+          line.latency == 0 ? result.latency.seconds() : 0.9 * line.latency + 0.1 * result.latency.seconds();
     } else {
       ++(result.outcome == Outcome::answered ? line.failed : line.errored);
       if (++line.consecutive_failures >= kMaxConsecutiveFailures)
--- a/src/standins/worker.cpp
+++ b/src/standins/worker.cpp
@@ -53,7 +53,7 @@
           const auto strong = weak.lock();
           if (!strong) return bytes.size();
           const std::size_t used = strong->reader.feed(bytes);
-          if (!strong->reader.fault().empty()) {
+          if (!strong->reader.error().empty()) {
             strong->connection->abort();
             return bytes.size();
           }
@@ -120,7 +120,7 @@
   if (sum <= s_.tip_multiple * capacity_factor() * s_.cores * s_.speed * s_.tip_after.seconds()) return;
   recorder_.write(now, "fell", {{"worker", s_.name}});
   overloaded_ = true;
-  loop_.soon([this] { crash(); });
+  loop_.call_soon([this] { crash(); });
 }
 
 void Worker::request(const std::shared_ptr<net::Connection>& connection, const Address& from,
--- a/tests/dns/dns_test.cpp
+++ b/tests/dns/dns_test.cpp
@@ -6,7 +6,7 @@
 #include <random>
 
 #include "../coordinator/fixture.hpp"
-#include "dns/front.hpp"
+#include "dns/responder.hpp"
 
 namespace gorsemount::dns {
 namespace {
@@ -32,24 +32,24 @@
 struct Served : ::testing::Test {
   void start(unsigned n, std::size_t lines_most = 16) {
     rig = std::make_unique<coordinator::Rig>(n);
-    FrontSettings s{"refill.test",
-                    "host.refill.test",
-                    {"ns1.refill.test", "ns.else.test"},
-                    *Address::parse("127.0.0.53"),
-                    1,
-                    1232,
-                    {"read", "write"},
-                    lines_most,
-                    2};
-    front = std::make_unique<Front>(s, rig->core.group_map());
-    front->publish(rig->published, rig->core.group_map());
+    ResponderSettings s{"refill.test",
+                        "host.refill.test",
+                        {"ns1.refill.test", "ns.else.test"},
+                        *Address::parse("127.0.0.53"),
+                        1,
+                        1232,
+                        {"read", "write"},
+                        lines_most,
+                        2};
+    responder = std::make_unique<Responder>(s, rig->core.group_map());
+    responder->publish(rig->published, rig->core.group_map());
   }
   void SetUp() override { start(6); }
 
   Packet ask(const Bytes& in, bool udp = true, const char* from = "127.1.0.9") {
     std::array<std::uint8_t, 65535> out;
     answered =
-        front->answer(in, *Address::parse(from), udp, udp ? std::span{out}.first(4096) : std::span{out});
+        responder->answer(in, *Address::parse(from), udp, udp ? std::span{out}.first(4096) : std::span{out});
     size = answered.size;
     raw.assign(out.begin(), out.begin() + static_cast<std::ptrdiff_t>(size));
     ldns_pkt* p = nullptr;
@@ -67,8 +67,8 @@
   }
 
   std::unique_ptr<coordinator::Rig> rig;
-  std::unique_ptr<Front> front;
-  Front::Answered answered;
+  std::unique_ptr<Responder> responder;
+  Responder::Answered answered;
   std::size_t size = 0;
   Bytes raw;
 };
@@ -97,10 +97,10 @@
 TEST_F(Served, WeightsFollowTheViewAndASmallOneIsNever0) {
   rig->workers[0].down = true;
   rig->seconds(4);
-  front->publish(rig->published, rig->core.group_map());
+  responder->publish(rig->published, rig->core.group_map());
   EXPECT_EQ(count(ask("_read._tcp.refill.test", LDNS_RR_TYPE_SRV)), 5U);
   rig->seconds(3);  // its trial: a hundredth of the traffic
-  front->publish(rig->published, rig->core.group_map());
+  responder->publish(rig->published, rig->core.group_map());
   const auto p = ask("_read._tcp.refill.test", LDNS_RR_TYPE_SRV);
   for (std::size_t k = 0; k < count(p); ++k)
     EXPECT_GE(ldns_rdf2native_int16(ldns_rr_rdf(ldns_rr_list_rr(ldns_pkt_answer(p.get()), k), 1)), 1);
@@ -152,7 +152,7 @@
   auto roster = rig->roster;
   roster[3].availability = Availability::draining;
   rig->step({coordinator::RosterUpdate{roster}});
-  front->publish(rig->published, rig->core.group_map());
+  responder->publish(rig->published, rig->core.group_map());
   EXPECT_EQ(count(ask("w3.w.refill.test", LDNS_RR_TYPE_A)), 0U);
   EXPECT_EQ(count(ask("_read._tcp.refill.test", LDNS_RR_TYPE_SRV)), 5U);
 }
@@ -201,7 +201,7 @@
   auto view = std::make_shared<coordinator::RoutingView>(*published->views[0][0]);
   view->version = 999, view->level.level = 0.25;
   published->views[0][0] = view;
-  front->publish(published, rig->core.group_map());
+  responder->publish(published, rig->core.group_map());
   int in = 0;
   for (int n = 0; n < 100; ++n) {
     const auto p = ask("_read._tcp.refill.test", LDNS_RR_TYPE_SRV);
@@ -260,7 +260,7 @@
     if (k >= 40) later.insert(published->directory->at(view->lines[k].backend).at.address.text());
   }
   published->views[0][0] = view;
-  front->publish(published, rig->core.group_map());
+  responder->publish(published, rig->core.group_map());
   std::set<std::string> met;
   for (int n = 0; n < 200; ++n) {
     const auto p = ask("_read._tcp.refill.test", LDNS_RR_TYPE_SRV);
@@ -348,7 +348,7 @@
     for (unsigned k = chance() % 4 + 1; k > 0; --k)
       in[chance() % in.size()] = static_cast<std::uint8_t>(chance());
     if (chance() % 3 == 0) in.resize(chance() % (in.size() + 1));
-    const auto a = front->answer(in, *Address::parse("127.1.0.1"), true, out);
+    const auto a = responder->answer(in, *Address::parse("127.1.0.1"), true, out);
     if (a.size == 0) continue;
     ++answers;
     ldns_pkt* p = nullptr;
--- a/tests/lab/windows_test.cpp
+++ b/tests/lab/windows_test.cpp
@@ -125,7 +125,7 @@
   auto day = some_day(900);
   day.troubles.push_back(crash(130, 20));
   day.phases.push_back({"noon", s(500), 1.6});
-  WorldSettings world;
+  SimulationSettings world;
   const std::vector<Variant> variants{{"as it is", "", {}},
                                       {"slow reports", "", {read_override("coordinator.report_every=4s")}}};
   const auto whole = play(day, variants, 1, 2, world, [](double) {});
--- a/tests/lab/zone_drain_test.cpp
+++ b/tests/lab/zone_drain_test.cpp
@@ -34,7 +34,7 @@
   day.operator_commands.push_back(scripted_command);
   const auto played = play(day, {{"as it is", "", {}}}, 2, 1, {}, [](double) {});
   const Tally& all = played[0].whole;
-  EXPECT_GT(static_cast<double>(all.limited), 0.1 * static_cast<double>(all.invocations));
+  EXPECT_GT(static_cast<double>(all.rate_limited), 0.1 * static_cast<double>(all.invocations));
   EXPECT_GT(all.service(), 0.5);
 }
 
--- a/tests/net/net_test.cpp
+++ b/tests/net/net_test.cpp
@@ -5,8 +5,8 @@
 #include <sys/socket.h>
 
 #include "dns/server.hpp"
-#include "hears/load_reply.hpp"
 #include "net/http.hpp"
+#include "probes/load_reply.hpp"
 
 namespace gorsemount::net {
 namespace {
@@ -45,7 +45,7 @@
   auto never = loop.after(Span::seconds(0.015), [&] { seen += "x"; });
   loop.cancel(never);
   loop.after(Span::seconds(0.03), [&] { loop.stop(); });
-  loop.soon([&] { seen += "0"; });
+  loop.call_soon([&] { seen += "0"; });
   loop.run();
   EXPECT_EQ(seen, "0ab");
 }
@@ -193,7 +193,7 @@
                     }};
   HttpClient client{loop, kAt, {}, 1000};
   HttpClient::Result result;
-  client.ask({}, Span::seconds(0.2), [&](HttpClient::Result r) {
+  client.send({}, Span::seconds(0.2), [&](HttpClient::Result r) {
     result = std::move(r);
     loop.stop();
   });
@@ -219,7 +219,7 @@
   Loop loop;
   HttpClient nobody{loop, *Endpoint::parse("127.7.7.8:17008")};
   HttpClient::Result result;
-  nobody.ask({}, Span::seconds(1), [&](HttpClient::Result r) { result = std::move(r), loop.stop(); });
+  nobody.send({}, Span::seconds(1), [&](HttpClient::Result r) { result = std::move(r), loop.stop(); });
   loop.run();
   EXPECT_EQ(result.outcome, Outcome::refused);
   EXPECT_FALSE(result.sent);
@@ -228,7 +228,7 @@
 TEST(LoadReply, SaysWhatIsWrongAndWhere) {
   const std::vector<coordinator::OperationInfo> ops{{"read", Effect::idempotent, {}, {}, 1}};
   const auto fault = [&](const std::string& text) {
-    const auto r = hears::read_load(text, ops);
+    const auto r = probes::read_load(text, ops);
     return std::holds_alternative<std::string>(r) ? std::get<std::string>(r) : "";
   };
   const std::string count =
@@ -258,13 +258,13 @@
   coordinator::Settings s;
   s.groups = {{"all", {}, {}, 1}};
   auto groups = std::make_shared<const coordinator::GroupMap>(s);
-  dns::Front front{{"x.test", "h.x.test", {"ns.x.test"}, *Address::parse("127.0.0.1"), 1, 1232, {}, 16, 2},
-                   groups};
+  dns::Responder responder{
+      {"x.test", "h.x.test", {"ns.x.test"}, *Address::parse("127.0.0.1"), 1, 1232, {}, 16, 2}, groups};
   auto published = std::make_shared<coordinator::PublishedState>();
   published->directory = std::make_shared<const std::map<BackendId, coordinator::DirectoryEntry>>();
   published->views.resize(1);
-  front.publish(published, groups);
-  dns::Server server{loop, front, {kAt, 1, Span::seconds(5)}, [](ProxyId) {}};
+  responder.publish(published, groups);
+  dns::Server server{loop, responder, {kAt, 1, Span::seconds(5)}, [](ProxyId) {}};
   std::string one{"\0\x18\x12\x34\1\0\0\1\0\0\0\0\0\0\1x\4test\0\0\6\0\1", 26};
   Fd fd;
   auto attempt = connect(loop, kAt, {}, [&](Fd got, int) { fd = std::move(got); });
