--- a/bench/program_bench.cpp
+++ b/bench/program_bench.cpp
@@ -380,7 +380,7 @@
       longest_step[with ? 1 : 0] = std::max(longest_step[with ? 1 : 0], millis(bench.longest_step)),
                               turns[with ? 1 : 0] += bench.turn;
       if (recorder)
-        for (const auto& [what, n] : recorder->left_out()) dropped += n;
+        for (const auto& [what, n] : recorder->dropped_counts()) dropped += n;
     }
     if (with) bytes += std::filesystem::file_size(file);
   }
@@ -491,8 +491,8 @@
       s.targets.push_back(
           {ProxyId{static_cast<std::uint16_t>(30000 + k)}, "f" + std::to_string(k), at[k], ""});
     s.operations = {"refill-check"};
-    s.report_every = Span::seconds(1), s.read_back_every = Span::seconds(0.5);
-    s.answer_within = Span::seconds(1), s.redial_after = Span::seconds(0.2);
+    s.stats_interval = Span::seconds(1), s.verify_interval = Span::seconds(0.5);
+    s.response_timeout = Span::seconds(1), s.reconnect_delay = Span::seconds(0.2);
     driver = std::make_unique<runtime_api::Driver>(
         loop, s,
         runtime_api::DriverHooks{
--- a/src/app/ctl.cpp
+++ b/src/app/ctl.cpp
@@ -16,7 +16,7 @@
 #include "config/settings.hpp"
 #include "core/address.hpp"
 #include "net/fd.hpp"
-#include "runtime_api/operators.hpp"
+#include "runtime_api/operator_console.hpp"
 
 namespace gorsemount::app {
 
@@ -65,7 +65,7 @@
 int ctl(const CtlOptions& options) {
   if (options.complete) {
     for (const auto& line :
-         runtime_api::Operators::complete(fmt::format("{}", fmt::join(options.words, " "))))
+         runtime_api::OperatorConsole::complete(fmt::format("{}", fmt::join(options.words, " "))))
       std::printf("%s\n", line.c_str());
     return kExitSuccess;
   }
--- a/src/app/day.cpp
+++ b/src/app/day.cpp
@@ -98,7 +98,7 @@
     std::ofstream{folder_ + "/roster.hcl"} << standins::roster_text(standins::roster_of(day_, places_));
     for (std::size_t k = 1; k <= day_.coordinators.size(); ++k) {
       std::string text = standins::coordinator_settings(day_, places_, k, folder_);
-      for (const auto& change : changes) text = lab::put(std::move(text), change);
+      for (const auto& change : changes) text = lab::apply_override(std::move(text), change);
       std::ofstream{settings(k)} << text;
     }
     if (day_.shared)
--- a/src/app/record.cpp
+++ b/src/app/record.cpp
@@ -14,7 +14,7 @@
 #include "config/settings.hpp"
 #include "lab/replay/compare.hpp"
 #include "lab/replay/fit.hpp"
-#include "lab/replay/same.hpp"
+#include "lab/replay/step_replay.hpp"
 #include "lab/replay/windows.hpp"
 #include "record/tools.hpp"
 #include "standins/records.hpp"
@@ -151,7 +151,7 @@
       throw std::runtime_error{"--page and --out are of whole days: leave out --window"};
     const bool scripted = o.day.ends_with(".hcl");
     record::Recording recording;
-    lab::Fitted fitted;
+    lab::FittedDay fitted;
     if (scripted) {
       config::Findings findings;
       fitted.day = script::read_day(text_of(o.day), o.day, findings);
@@ -160,7 +160,7 @@
     } else {
       recording = record::read(o.day);
       if (o.same) {
-        const auto same = lab::same_orders(recording);
+        const auto same = lab::replay_steps(recording);
         std::printf("%zu of %zu steps ordered the same\n", same.compared - (same.difference.empty() ? 0 : 1),
                     recording.steps.size());
         if (!same.stopped.empty()) std::printf("  not further: %s\n", same.stopped.c_str());
@@ -169,12 +169,12 @@
       }
       fitted = lab::fit(recording);
     }
-    if (o.thin > 1) fitted.day = lab::thinned(fitted.day, o.thin);
+    if (o.thin > 1) fitted.day = lab::scaled_down(fitted.day, o.thin);
     for (const auto& e : fitted.estimates)
       std::printf("%s\n", fmt::format("  estimated: {} {:.4g}, likely {:.4g} to {:.4g} ({})", e.what, e.value,
                                       e.low, e.high, e.how)
                               .c_str());
-    for (const auto& u : fitted.unknown) std::printf("  not recorded: %s\n", u.c_str());
+    for (const auto& u : fitted.assumptions) std::printf("  not recorded: %s\n", u.c_str());
     std::vector<lab::Variant> variants{{"as recorded", "", {}}};
     if (!o.config.empty()) variants[0] = {"A " + o.config[0], text_of(o.config[0]), {}};
     for (std::size_t k = 1; k < o.config.size(); ++k)
@@ -198,7 +198,7 @@
     world.seed = o.first, world.list_completions = !recording.invocations.empty() || !o.out.empty();
     std::string remark;
     if (!recording.invocations.empty()) {
-      const auto played = lab::play(fitted.day, {variants.front()}, 1, 1, world, [](double) {});
+      const auto played = lab::run_variants(fitted.day, {variants.front()}, 1, 1, world, [](double) {});
       const auto c = lab::calibrate(recording, fitted.day, played[0].outcomes[0]);
       std::printf("%s\n", fmt::format("Calibration: the recorded day beside the world's under the recorded "
                                       "settings\n  {:<40} {:>10} {:>10} {:>9}",
@@ -217,18 +217,18 @@
     }
     world.list_completions = !o.out.empty();
     if (!o.window.empty()) {
-      const auto played = lab::play_windows(
+      const auto played = lab::run_windows(
           fitted.day, variants, {span_of("--window", o.window), span_of("--warm", o.warm), o.part, o.first},
           o.jobs, world, progress);
-      std::printf("%s", lab::table(fitted.day, played).c_str());
+      std::printf("%s", lab::text_report(fitted.day, played).c_str());
       if (!remark.empty()) std::printf("  %s\n", remark.c_str());
       return std::any_of(played.variants.begin(), played.variants.end(),
                          [](const auto& v) { return !v.broken.empty(); })
                  ? kExitRuleViolated
                  : kExitSuccess;
     }
-    const auto played = lab::play(fitted.day, variants, o.seeds, o.jobs, world, progress);
-    std::printf("%s", lab::table(fitted.day, played).c_str());
+    const auto played = lab::run_variants(fitted.day, variants, o.seeds, o.jobs, world, progress);
+    std::printf("%s", lab::text_report(fitted.day, played).c_str());
     if (!o.sweep.empty())
       for (std::size_t k = 1; k < played.size(); ++k)
         std::printf(
@@ -238,7 +238,7 @@
                 std::string(static_cast<std::size_t>(std::max(0.0, 60 * played[k].whole.service())), '#'))
                 .c_str());
     if (!remark.empty()) std::printf("  %s\n", remark.c_str());
-    if (!o.page.empty()) save(o.page, lab::page(fitted.day, played, remark));
+    if (!o.page.empty()) save(o.page, lab::html_report(fitted.day, played, remark));
     if (!o.out.empty())
       record::write(lab::recording_of(fitted.day, scripted ? text_of(o.day) : recording.header.day,
                                       played[0].outcomes[0]),
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -25,7 +25,7 @@
 #include "record/recorder.hpp"
 #include "recovery/fact_confidence.hpp"
 #include "runtime_api/command_server.hpp"
-#include "runtime_api/operators.hpp"
+#include "runtime_api/operator_console.hpp"
 #include "shared_fleet/cluster_adapter.hpp"
 #include "store/store_writer.hpp"
 
@@ -47,7 +47,7 @@
   f.origin = s.dns.origin, f.hostmaster = s.dns.hostmaster, f.nameservers = s.dns.nameservers;
   f.address = s.listen.address;
   f.negative_ttl = static_cast<std::uint32_t>(s.dns.negative_for.seconds());
-  f.udp_size = static_cast<std::uint16_t>(s.dns.additional_most);
+  f.udp_size = static_cast<std::uint16_t>(s.dns.max_udp_size);
   for (const auto& op : s.core.operations) f.operations.push_back(op.name);
   f.max_srv_records = static_cast<std::size_t>(s.core.lines_most);
   f.max_addresses = static_cast<std::size_t>(s.core.addresses_most);
@@ -62,8 +62,8 @@
                          s.runtime.forwarders[k].path});
   for (const auto& op : s.core.operations) d.operations.push_back(op.name);
   d.shared = !s.cluster.members.empty(), d.leader = s.cluster.member;
-  d.report_every = s.core.report_every, d.read_back_every = s.runtime.read_back_every;
-  d.answer_within = s.runtime.answer_within, d.redial_after = s.runtime.redial_after;
+  d.stats_interval = s.core.report_every, d.verify_interval = s.runtime.read_back_every;
+  d.response_timeout = s.runtime.answer_within, d.reconnect_delay = s.runtime.redial_after;
   return d;
 }
 
@@ -173,7 +173,7 @@
 
   void say(bool warning, const std::string& event, const log::Fields& fields) {
     log_.event(warning ? log::Level::warning : log::Level::info, event, fields);
-    if (warning && operators_) operators_->remember(event, fields);
+    if (warning && operators_) operators_->record_warning(event, fields);
   }
 
   // What an earlier life knew, so far as it is believed. Whatever is wrong with it, serving goes on.
@@ -228,7 +228,8 @@
                               std::chrono::system_clock::now().time_since_epoch())
                               .count();
       // From a background thread; the log takes lines from any.
-      recorder_.emplace(*background_, record::RecorderSettings{s_.recording_file, s_.recording_most, 4096},
+      recorder_.emplace(*background_,
+                        record::RecorderSettings{s_.recording_file, s_.recording_size_limit, 4096},
                         std::move(header), Instant{}, [this](const std::string& why) {
                           log_.event(log::Level::warning, "recording_stopped", {{"why", why}});
                         });
@@ -253,7 +254,7 @@
       operators_.emplace(
           core_, [this](const coordinator::OperatorCommand& order) { return ordered(order); },
           [this] { return driver_.status(); }, token);
-      operators_->at_work([this] { return work_rows(); });
+      operators_->set_task_source([this] { return work_rows(); });
       const auto serve = [this](std::unique_ptr<runtime_api::CommandServer>& to, bool trusted) {
         // Peers of the two sockets must not be taken for each other.
         to = std::make_unique<runtime_api::CommandServer>(
@@ -262,7 +263,7 @@
               return operators_->handle(peer, trusted, command);
             },
             runtime_api::CommandServer::Limits{});
-        to->on_gone([this](std::uint64_t peer) { operators_->gone(peer); });
+        to->on_disconnect([this](std::uint64_t peer) { operators_->disconnected(peer); });
       };
       if (!s_.runtime.socket.empty())
         serve(socket_, true), socket_->listen(s_.runtime.socket, s_.runtime.socket_mode);
@@ -274,8 +275,8 @@
     }
   }
 
-  [[nodiscard]] runtime_api::Operators::Rows work_rows() const {
-    runtime_api::Operators::Rows rows;
+  [[nodiscard]] runtime_api::OperatorConsole::Rows work_rows() const {
+    runtime_api::OperatorConsole::Rows rows;
     const auto ms = [](Span span) { return fmt::format("{:.2f}", 1000 * span.seconds()); };
     for (const auto& c : background_->counters())
       rows.push_back({{"task", c.name},
@@ -331,13 +332,14 @@
       log_.event(log::Level::info, "cluster_joined",
                  {{"member", c.member}, {"members", std::to_string(c.members.size())}});
       if (operators_)
-        operators_->in_cluster([this] { return cluster_rows(); },
-                               [this] {
-                                 const auto n = cluster_->hand_over_all(net::monotonic_now());
-                                 tick_cluster();
-                                 log_.event(log::Level::info, "handed_over", {{"shards", std::to_string(n)}});
-                                 return std::string{};
-                               });
+        operators_->set_cluster_source(
+            [this] { return cluster_rows(); },
+            [this] {
+              const auto n = cluster_->hand_over_all(net::monotonic_now());
+              tick_cluster();
+              log_.event(log::Level::info, "handed_over", {{"shards", std::to_string(n)}});
+              return std::string{};
+            });
       tick_cluster();
       tell_cluster();
       return true;
@@ -347,9 +349,9 @@
     }
   }
 
-  [[nodiscard]] runtime_api::Operators::Rows cluster_rows() const {
+  [[nodiscard]] runtime_api::OperatorConsole::Rows cluster_rows() const {
     constexpr const char* standings[] = {"alive", "suspected", "gone"};
-    runtime_api::Operators::Rows rows;
+    runtime_api::OperatorConsole::Rows rows;
     for (std::size_t k = 0; k < s_.cluster.members.size(); ++k) {
       const auto& [name, at] = s_.cluster.members[k];
       const auto standing = cluster_->state_of({static_cast<std::uint16_t>(k)});
@@ -388,7 +390,7 @@
             log::Level::info, lead.now ? "leads" : "leads_no_more",
             {{"forwarder", s_.core.forwarders[lead.forwarder.value - coordinator::kFirstForwarderId].name},
              {"term", std::to_string((lead.now ? lead.now : lead.before)->value)}});
-      driver_.lead(lead.forwarder, lead.now ? std::optional{lead.now->value} : std::nullopt);
+      driver_.set_term(lead.forwarder, lead.now ? std::optional{lead.now->value} : std::nullopt);
     }
   }
 
@@ -439,7 +441,7 @@
   }
 
   void watch_roster() {
-    roster_task_ = background_->add({"roster", 1, s_.roster_every, 0, 1}, [this] {
+    roster_task_ = background_->add({"roster", 1, s_.roster_check_interval, 0, 1}, [this] {
       auto look = roster_.look();
       const std::size_t n = look.entries ? look.entries->size() : 0;
       // An unchanged file is nothing to wake the loop for.
@@ -461,7 +463,7 @@
       return;
     }
     // What the module was started with can't change under it; saying so beats doing half of it.
-    if (config::fixed_part(fresh) != config::fixed_part(s_))
+    if (config::non_reloadable_settings(fresh) != config::non_reloadable_settings(s_))
       log_.event(
           log::Level::warning, "reload_partial",
           {{"why",
@@ -477,7 +479,7 @@
       }
     }
     log_.set_level(fresh.log_level);
-    s_.roster_file = fresh.roster_file, s_.roster_every = fresh.roster_every;
+    s_.roster_file = fresh.roster_file, s_.roster_check_interval = fresh.roster_check_interval;
     s_.core.groups = fresh.core.groups, s_.core.trusted_resolvers = fresh.core.trusted_resolvers;
     s_.core.lifetime_most = fresh.core.lifetime_most, s_.core.group_idle = fresh.core.group_idle;
     seen_.assign(s_.core.groups.size(), {});
@@ -526,7 +528,7 @@
   std::optional<store::StoreWriter> keeper_;
   net::Loop::Timer cluster_wake_;
   runtime_api::Driver driver_;
-  std::optional<runtime_api::Operators> operators_;
+  std::optional<runtime_api::OperatorConsole> operators_;
   std::unique_ptr<runtime_api::CommandServer> socket_, tcp_;
   net::Loop::Timer wake_;
   bool gathering_ = false, stopping_ = false;
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -298,7 +298,7 @@
   }
   if (s.dns.nameservers.empty()) s.dns.nameservers.push_back("ns." + s.dns.origin);
   s.dns.negative_for = dns.span("negative_for", Span::seconds(1), kNone, Span::seconds(3600));
-  s.dns.additional_most = static_cast<int>(dns.number("udp_size", 1232, {512, 4096, true}, "bytes"));
+  s.dns.max_udp_size = static_cast<int>(dns.number("udp_size", 1232, {512, 4096, true}, "bytes"));
   s.core.lines_most = static_cast<int>(dns.number("lines_most", 16, {1, 1000, true}));
   s.core.addresses_most = static_cast<int>(dns.number("addresses_most", 2, {1, 64, true}));
   s.core.lifetime_most = dns.span("lifetime_most", Span::seconds(5), kNone, Span::seconds(86400));
@@ -308,7 +308,7 @@
 
   Section roster = root.only("roster");
   s.roster_file = roster.text("file", std::nullopt);
-  s.roster_every = roster.span("check_every", ms(200), ms(10), Span::seconds(60));
+  s.roster_check_interval = roster.span("check_every", ms(200), ms(10), Span::seconds(60));
   roster.done();
 
   Section hears = root.only("hears");
@@ -342,7 +342,8 @@
   store.done();
   Section recording = root.only("recording");
   s.recording_file = recording.text("file", "");
-  s.recording_most = static_cast<std::uint64_t>(recording.number("bytes_most", 2e9, {1e6, 1e12}, "bytes"));
+  s.recording_size_limit =
+      static_cast<std::uint64_t>(recording.number("bytes_most", 2e9, {1e6, 1e12}, "bytes"));
   recording.done();
   root.done();
   std::stable_sort(findings.faults.begin(), findings.faults.end(), [](const auto& a, const auto& b) {
@@ -351,7 +352,7 @@
   return s;
 }
 
-std::string fixed_part(const ServeSettings& s) {
+std::string non_reloadable_settings(const ServeSettings& s) {
   const auto& c = s.core;
   std::string text =
       fmt::format("{} {} {} {} {}|{}|{}|{}", s.name, s.zone_name, c.seed, c.coordinators,
@@ -374,7 +375,7 @@
                       span_text(s.cluster.lease), s.cluster.drift);
   for (const auto& [name, at] : s.cluster.members) text += "|" + name + " " + at.text();
   return text + fmt::format("|{} {}|{} {}|{}", s.health_path, s.load_path, s.dns.hostmaster,
-                            s.dns.additional_most, fmt::join(s.dns.nameservers, " "));
+                            s.dns.max_udp_size, fmt::join(s.dns.nameservers, " "));
 }
 
 RosterRead read_roster(const std::string& text, const std::string& file, const coordinator::Settings& core) {
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -15,7 +15,7 @@
   std::vector<std::string> nameservers;  // names below or outside the origin
   std::string hostmaster;
   Span negative_for;
-  int additional_most = 0;  // bytes of an answer over UDP, at most (RFC 6891, section 6.2.3)
+  int max_udp_size = 0;  // bytes of an answer over UDP, at most (RFC 6891, section 6.2.3)
 };
 
 struct RuntimeSettings {
@@ -53,13 +53,13 @@
   int tcp_most = 0;  // TCP connections at one time
   Span tcp_idle;     // RFC 7766, section 6.2.3
   std::string roster_file;
-  Span roster_every;
+  Span roster_check_interval;
   std::string health_path, load_path;
   Span health_every, health_again, health_timeout, load_every, load_timeout;
   std::string log_level, log_file, records_file;
   std::string store_folder, store_key_file;  // empty: nothing outlasts the process
   std::string recording_file;                // for replays; empty: none
-  std::uint64_t recording_most = 0;          // bytes before compression, then a new file begins
+  std::uint64_t recording_size_limit = 0;    // bytes before compression, then a new file begins
 };
 
 // Reads and checks a file's text. Faults and the values in force go to `findings`; the settings are only of
@@ -68,7 +68,7 @@
                                           Findings& findings);
 
 // What a running coordinator can't change: a text that differs if any of it does.
-[[nodiscard]] std::string fixed_part(const ServeSettings& settings);
+[[nodiscard]] std::string non_reloadable_settings(const ServeSettings& settings);
 
 struct RosterRead {
   std::vector<coordinator::RosterEntry> entries;
--- a/src/forwarders/plan.cpp
+++ b/src/forwarders/plan.cpp
@@ -16,14 +16,14 @@
 
 struct Line {
   std::string worker;
-  Endpoint at;
+  Endpoint endpoint;
   int had = 0, is_to_have = 0;
   bool known = false, cold = false, moved = false;
 };
 
 class Planner {
  public:
-  Planner(const Held& held, std::string operation) : now_{held}, operation_{std::move(operation)} {}
+  Planner(const ActualTable& held, std::string operation) : now_{held}, operation_{std::move(operation)} {}
 
   void change(Change c) {
     c.operation = operation_;
@@ -34,32 +34,33 @@
   void bring(const Line& line, int number) {
     const auto it = now_.lines.find({operation_, line.worker});
     if (it == now_.lines.end()) {
-      if (number > 0) change({Change::What::add, "", line.worker, number, State::ready, line.at});
+      if (number > 0) change({Change::What::add, "", line.worker, number, ServerState::ready, line.endpoint});
       return;
     }
-    if (it->second.picked() == number && (number > 0 || it->second.state != State::ready)) return;
+    if (it->second.effective_weight() == number && (number > 0 || it->second.state != ServerState::ready))
+      return;
     if (number == 0) {
       // A drain, and not a weight of 0: it says what is meant, and open work goes on.
-      change({Change::What::state, "", line.worker, 0, State::drain, {}});
+      change({Change::What::state, "", line.worker, 0, ServerState::drain, {}});
       return;
     }
     // The number first: a line that comes back must not come back with what it had.
     if (it->second.weight != number)
-      change({Change::What::weight, "", line.worker, number, State::ready, {}});
-    if (now_.lines.at({operation_, line.worker}).state != State::ready)
-      change({Change::What::state, "", line.worker, 0, State::ready, {}});
+      change({Change::What::weight, "", line.worker, number, ServerState::ready, {}});
+    if (now_.lines.at({operation_, line.worker}).state != ServerState::ready)
+      change({Change::What::state, "", line.worker, 0, ServerState::ready, {}});
   }
   [[nodiscard]] std::vector<Change> take() { return std::move(changes_); }
 
  private:
-  Held now_;
+  ActualTable now_;
   std::string operation_;
   std::vector<Change> changes_;
 };
 
-std::vector<Change> plan_operation(const Held& held, const DesiredTable::Operation& part,
+std::vector<Change> plan_operation(const ActualTable& held, const DesiredTable::Operation& part,
                                    const std::set<std::string>& known) {
-  const auto numbers = whole_weights(part.lines);
+  const auto numbers = integer_weights(part.lines);
   std::map<std::string, Line> lines;
   for (std::size_t k = 0; k < part.lines.size(); ++k) {
     const DesiredLine& w = part.lines[k];
@@ -70,9 +71,10 @@
     if (key.first != part.operation) continue;
     const auto it = lines.find(key.second);
     if (it == lines.end()) {
-      lines[key.second] = {key.second, line.at, line.picked(), 0, known.contains(key.second), false, false};
+      lines[key.second] = {key.second, line.endpoint, line.effective_weight(), 0, known.contains(key.second),
+                           false,      false};
     } else {
-      it->second.had = line.picked(), it->second.moved = line.at != it->second.at;
+      it->second.had = line.effective_weight(), it->second.moved = line.endpoint != it->second.endpoint;
     }
   }
   double warm_had = 0, warm_to_have = 0, moving = 0;
@@ -107,7 +109,7 @@
     for (const auto& [name, l] : lines) {
       if (!l.moved || l.cold != cold) continue;
       planner.bring(l, 0);
-      planner.change({Change::What::address, "", name, 0, State::ready, l.at});
+      planner.change({Change::What::address, "", name, 0, ServerState::ready, l.endpoint});
       planner.bring(l, l.is_to_have);
     }
   };
@@ -126,25 +128,25 @@
   for (const auto& [name, l] : lines) {
     const auto it = held.lines.find({part.operation, name});
     if (l.known || l.is_to_have > 0 || it == held.lines.end()) continue;
-    if (it->second.state != State::maint)
-      planner.change({Change::What::state, "", name, 0, State::maint, {}});
-    planner.change({Change::What::remove, "", name, 0, State::ready, {}});
+    if (it->second.state != ServerState::maint)
+      planner.change({Change::What::state, "", name, 0, ServerState::maint, {}});
+    planner.change({Change::What::remove, "", name, 0, ServerState::ready, {}});
   }
   return planner.take();
 }
 
 }  // namespace
 
-std::vector<int> whole_weights(const std::vector<DesiredLine>& lines) {
+std::vector<int> integer_weights(const std::vector<DesiredLine>& lines) {
   double heaviest = 0;
   for (const auto& l : lines) heaviest = std::max(heaviest, l.weight);
   std::vector<int> numbers;
   if (heaviest <= 0) return std::vector<int>(lines.size(), 0);
-  const double scale = std::exp2(std::floor(std::log2(kWeightMost / heaviest) + 1e-9));
+  const double scale = std::exp2(std::floor(std::log2(kMaxWeight / heaviest) + 1e-9));
   for (const auto& l : lines) {
     const double exact = l.weight * scale;
     const double rounded = l.cold ? std::floor(exact + 1e-9) : std::round(exact);
-    numbers.push_back(std::clamp(static_cast<int>(rounded), 1, kWeightMost));
+    numbers.push_back(std::clamp(static_cast<int>(rounded), 1, kMaxWeight));
   }
   return numbers;
 }
@@ -163,7 +165,7 @@
   return values;
 }
 
-std::vector<Change> plan(const Held& held, const DesiredTable& wanted, bool with_values) {
+std::vector<Change> plan(const ActualTable& held, const DesiredTable& wanted, bool with_values) {
   const std::set<std::string> known{wanted.known_backends.begin(), wanted.known_backends.end()};
   std::vector<Change> all;
   for (const auto& part : wanted.operations) {
@@ -174,14 +176,14 @@
   }
   if (with_values)
     for (const auto& [name, number] : values_of(wanted))
-      if (const auto it = held.values.find(name); it == held.values.end() || it->second != number)
-        all.push_back({Change::What::value, "", name, number, State::ready, {}});
+      if (const auto it = held.variables.find(name); it == held.variables.end() || it->second != number)
+        all.push_back({Change::What::value, "", name, number, ServerState::ready, {}});
   return all;
 }
 
-void apply(Held& held, const Change& c) {
+void apply(ActualTable& held, const Change& c) {
   if (c.what == Change::What::value) {
-    held.values[c.worker] = c.number;
+    held.variables[c.worker] = c.number;
     return;
   }
   const std::pair key{c.operation, c.worker};
@@ -189,10 +191,10 @@
     held.lines.erase(key);
     return;
   }
-  HeldLine& line = held.lines[key];
+  ActualLine& line = held.lines[key];
   switch (c.what) {
     case Change::What::add:
-      line = {c.at, c.number, State::ready};
+      line = {c.endpoint, c.number, ServerState::ready};
       break;
     case Change::What::weight:
       line.weight = c.number;
@@ -201,7 +203,7 @@
       line.state = c.state;
       break;
     case Change::What::address:
-      line.at = c.at;
+      line.endpoint = c.endpoint;
       break;
     case Change::What::remove:
     case Change::What::value:
--- a/src/lab/replay/compare.cpp
+++ b/src/lab/replay/compare.cpp
@@ -73,8 +73,9 @@
   return degrees < few.size() ? few[degrees] : degrees < 30 ? 2.09 : 1.96;
 }
 
-std::vector<Played> play(const script::Day& day, const std::vector<Variant>& variants, int seeds, int jobs,
-                         const SimulationSettings& world, const std::function<void(double)>& progress) {
+std::vector<Played> run_variants(const script::Day& day, const std::vector<Variant>& variants, int seeds,
+                                 int jobs, const SimulationSettings& world,
+                                 const std::function<void(double)>& progress) {
   std::vector<Played> all;
   for (const auto& v : variants) {
     for (std::size_t n = 1; n <= day.coordinators.size(); ++n)
@@ -138,7 +139,7 @@
   return out;
 }
 
-std::string table(const script::Day& day, const std::vector<Played>& played) {
+std::string text_report(const script::Day& day, const std::vector<Played>& played) {
   std::string text = fmt::format("{:<34}", "");
   for (const auto& p : played) text += fmt::format(" {:>16}", p.name.substr(0, 16));
   const auto row = [&](const std::string& what, auto value) {
@@ -190,13 +191,14 @@
   return text;
 }
 
-std::string page(const script::Day& day, const std::vector<Played>& played, const std::string& remark) {
+std::string html_report(const script::Day& day, const std::vector<Played>& played,
+                        const std::string& remark) {
   std::string html = "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>" + escaped(day.name) +
                      "</title><style>body{font:14px sans-serif;max-width:60em;margin:2em auto;color:#000}svg "
                      "text{font-size:11px}pre{overflow:auto}</style>";
   html += "<h1>" + escaped(day.name) + "</h1>";
   if (!remark.empty()) html += "<p><strong>" + escaped(remark) + "</strong></p>";
-  html += "<pre>" + escaped(table(day, played)) + "</pre>";
+  html += "<pre>" + escaped(text_report(day, played)) + "</pre>";
   std::vector<Series> service;
   for (const auto& p : played) {
     Series s{p.name, {}};
--- a/src/lab/replay/compare.hpp
+++ b/src/lab/replay/compare.hpp
@@ -30,16 +30,16 @@
 };
 
 // The outcome is the same for any number of jobs. Throws std::runtime_error for settings that can't be.
-[[nodiscard]] std::vector<Played> play(const script::Day& day, const std::vector<Variant>& variants,
-                                       int seeds, int jobs, const SimulationSettings& world,
-                                       const std::function<void(double)>& progress);
+[[nodiscard]] std::vector<Played> run_variants(const script::Day& day, const std::vector<Variant>& variants,
+                                               int seeds, int jobs, const SimulationSettings& world,
+                                               const std::function<void(double)>& progress);
 // Student's t, two-sided 95%, by degrees of freedom.
 [[nodiscard]] double t95(std::size_t degrees);
 [[nodiscard]] Difference difference(const Played& a, const Played& b);  // b less a, of the service count
 
 // For a terminal, and as one page of HTML that needs nothing else.
-[[nodiscard]] std::string table(const script::Day& day, const std::vector<Played>& played);
-[[nodiscard]] std::string page(const script::Day& day, const std::vector<Played>& played,
-                               const std::string& remark);
+[[nodiscard]] std::string text_report(const script::Day& day, const std::vector<Played>& played);
+[[nodiscard]] std::string html_report(const script::Day& day, const std::vector<Played>& played,
+                                      const std::string& remark);
 
 }  // namespace gorsemount::lab
--- a/src/lab/replay/fit.cpp
+++ b/src/lab/replay/fit.cpp
@@ -40,8 +40,8 @@
 
 }  // namespace
 
-Fitted fit(const record::Recording& r) {
-  Fitted f;
+FittedDay fit(const record::Recording& r) {
+  FittedDay f;
   config::Findings findings;
   if (!r.header.day.empty()) {
     f.day = script::read_day(r.header.day, "the recorded day", findings);
@@ -126,12 +126,12 @@
     if (w.down) trouble(script::InjectedFaultKind::crash, w, *w.down, end);
     if (w.hung && end - *w.hung > Span::seconds(1)) {
       trouble(script::InjectedFaultKind::hang, w, *w.hung, end);
-      f.unknown.push_back(
+      f.assumptions.push_back(
           w.name +
           " took invocations and answered none: their work is unknown, the operation's own is assumed");
     }
   }
-  if (unread > 0) f.unknown.push_back(fmt::format("{} steps without what was heard in them", unread));
+  if (unread > 0) f.assumptions.push_back(fmt::format("{} steps without what was heard in them", unread));
   script::Day& d = f.day;
   d.name = r.header.name, d.zones = core.zones, d.length = Span::micros(*last_t - *first),
   d.settle = Span::seconds(1);
@@ -141,8 +141,8 @@
     const auto e = estimate("work of " + op.name + ", s",
                             "latency of succeeded ones at workers that were under half busy", work[k]);
     if (work[k].empty())
-      f.unknown.push_back("work of " + op.name +
-                          ": never seen at an idle worker; a tenth of its latency objective is assumed");
+      f.assumptions.push_back("work of " + op.name +
+                              ": never seen at an idle worker; a tenth of its latency objective is assumed");
     double share = 0;
     for (const auto& [id, w] : workers)
       if (w.last)
@@ -166,8 +166,8 @@
                       "invocations a second over use of processors, times their work", capacity);
     e.value *= mean_work, e.low *= mean_work, e.high *= mean_work;
     if (capacity.empty())
-      f.unknown.push_back("capacity in " + core.zones[z] +
-                          ": never busy enough to tell; two cores are assumed"),
+      f.assumptions.push_back("capacity in " + core.zones[z] +
+                              ": never busy enough to tell; two cores are assumed"),
           e = {e.what, "assumed", 2, 1, 8};
     script::DayWorkers w;
     w.zone = core.zones[z], w.count = std::min(count, 250), w.cores = std::max(1.0, std::round(e.value)),
@@ -184,7 +184,7 @@
     c.rate = std::max(0.01, mean_rate / 8 / static_cast<double>(core.zones.size()));
     d.clients.push_back(c);
   }
-  f.unknown.emplace_back("who asked: eight clients a zone, of equal parts");
+  f.assumptions.emplace_back("who asked: eight clients a zone, of equal parts");
   for (std::int64_t t = *first / 1'000'000; t <= *last_t / 1'000'000; t += 5) {
     double n = 0;
     for (std::int64_t k = t; k < t + 5; ++k) n += taken.contains(k) ? taken[k] : 0;
--- a/src/lab/replay/fit.hpp
+++ b/src/lab/replay/fit.hpp
@@ -14,14 +14,14 @@
   std::string what, how;
   double value = 0, low = 0, high = 0;
 };
-struct Fitted {
+struct FittedDay {
   script::Day day;
   bool scripted = false;
   std::vector<Estimate> estimates;
-  std::vector<std::string> unknown;  // what the recording can't tell, and what is assumed for it
+  std::vector<std::string> assumptions;  // what the recording can't tell, and what is assumed for it
 };
 // Throws std::runtime_error with what is missing.
-[[nodiscard]] Fitted fit(const record::Recording& recording);
+[[nodiscard]] FittedDay fit(const record::Recording& recording);
 
 // How far a played day is from the recorded one. Matched: the service count within 0.03 and each zone's part
 // of the work within 0.1; else a what-if on it is marked.
--- a/src/lab/replay/settings.hpp
+++ b/src/lab/replay/settings.hpp
@@ -17,7 +17,7 @@
 [[nodiscard]] Override read_override(const std::string& text);
 
 // The text with the value in place. Blocks without labels only.
-[[nodiscard]] std::string put(std::string text, const Override& change);
+[[nodiscard]] std::string apply_override(std::string text, const Override& change);
 
 // Coordinator `number` of the day: by `config` (the text of a settings file; empty: what the day implies)
 // with the changes. Who is there is the day's in any case. Throws std::runtime_error with the fault's place.
--- a/src/lab/replay/same.cpp
+++ b/src/lab/replay/step_replay.cpp
@@ -1,4 +1,4 @@
-#include "lab/replay/same.hpp"
+#include "lab/replay/step_replay.hpp"
 
 #include <fmt/format.h>
 #include <xxhash.h>
@@ -30,11 +30,11 @@
 
 }  // namespace
 
-SameOrders same_orders(const record::Recording& r) {
+StepReplay replay_steps(const record::Recording& r) {
   config::Findings findings;
   const auto settings = config::read_settings(r.header.settings, "the recorded settings", findings);
   if (!findings.faults.empty()) throw std::runtime_error{findings.faults.front().text()};
-  SameOrders result;
+  StepReplay result;
   for (const auto& m : r.missing)
     if (m.find("beginning") != std::string::npos) {
       result.stopped = "the recording does not begin where the coordinator began";
--- a/src/lab/replay/same.hpp
+++ b/src/lab/replay/step_replay.hpp
@@ -8,13 +8,13 @@
 
 namespace gorsemount::lab {
 
-struct SameOrders {
+struct StepReplay {
   std::size_t compared = 0;
   std::string
       difference;       // of the first step that ordered otherwise: its input, and both orders; empty: none
   std::string stopped;  // why nothing could be compared from some step on; empty: all was
 };
 // Throws std::runtime_error for settings that can't be read.
-[[nodiscard]] SameOrders same_orders(const record::Recording& recording);
+[[nodiscard]] StepReplay replay_steps(const record::Recording& recording);
 
 }  // namespace gorsemount::lab
--- a/src/lab/replay/windows.cpp
+++ b/src/lab/replay/windows.cpp
@@ -106,7 +106,7 @@
   return piece;
 }
 
-script::Day thinned(const script::Day& day, int times) {
+script::Day scaled_down(const script::Day& day, int times) {
   script::Day thin = day;
   const auto less = [times](int& n, const std::string& what) {
     if (n == 0) return;
@@ -149,9 +149,9 @@
   return d;
 }
 
-WindowedDay play_windows(const script::Day& day, const std::vector<Variant>& variants, const WindowPlan& plan,
-                         int jobs, const SimulationSettings& world,
-                         const std::function<void(double)>& progress) {
+WindowedDay run_windows(const script::Day& day, const std::vector<Variant>& variants, const WindowPlan& plan,
+                        int jobs, const SimulationSettings& world,
+                        const std::function<void(double)>& progress) {
   WindowedDay result;
   result.windows = plan_windows(day, plan);
   result.whole = day.length;
@@ -214,7 +214,7 @@
   return result;
 }
 
-std::string table(const script::Day& day, const WindowedDay& d) {
+std::string text_report(const script::Day& day, const WindowedDay& d) {
   std::size_t eventful = 0;
   for (const auto& w : d.windows) eventful += w.eventful ? 1 : 0;
   std::string text = fmt::format(
--- a/src/lab/replay/windows.hpp
+++ b/src/lab/replay/windows.hpp
@@ -33,7 +33,7 @@
 [[nodiscard]] script::Day day_of(const script::Day& day, const Window& window, Span warm);
 // `times` fewer workers, clients, forwarders and lines; each as busy as before. Throws std::runtime_error if
 // a block would be left with nobody.
-[[nodiscard]] script::Day thinned(const script::Day& day, int times);
+[[nodiscard]] script::Day scaled_down(const script::Day& day, int times);
 
 struct Windowed {
   std::string name;
@@ -49,10 +49,10 @@
   Span played, whole;  // warming up included; of the day
 };
 // The outcome is the same for any number of jobs. Throws std::runtime_error for settings that can't be.
-[[nodiscard]] WindowedDay play_windows(const script::Day& day, const std::vector<Variant>& variants,
-                                       const WindowPlan& plan, int jobs, const SimulationSettings& world,
-                                       const std::function<void(double)>& progress);
-[[nodiscard]] std::string table(const script::Day& day, const WindowedDay& played);
+[[nodiscard]] WindowedDay run_windows(const script::Day& day, const std::vector<Variant>& variants,
+                                      const WindowPlan& plan, int jobs, const SimulationSettings& world,
+                                      const std::function<void(double)>& progress);
+[[nodiscard]] std::string text_report(const script::Day& day, const WindowedDay& played);
 
 // A stratified sample's sum of `value` over the sum of `asked`, a row a window. Free of the world, for tests.
 struct Sampled {
--- a/src/lab/simulation/simulation.cpp
+++ b/src/lab/simulation/simulation.cpp
@@ -110,7 +110,7 @@
   std::mt19937 demand;  // of its own, so that what is asked does not hang on what was answered
   std::vector<std::vector<Pick>> picks;  // by operation
   // forwarders
-  forwarders::Held held;
+  forwarders::ActualTable held;
   std::uint64_t highest = 0;
   std::vector<Instant> away;
   std::vector<std::uint8_t> in_a_row;
@@ -323,7 +323,7 @@
     for (const auto& line : usual)
       if (zone_of(line.zone) == p.zone && n++ < 4)
         for (const auto& op : day.operations)
-          p.held.lines[{op.name, line.name}] = {line.at, 100, forwarders::State::ready};
+          p.held.lines[{op.name, line.name}] = {line.at, 100, forwarders::ServerState::ready};
     read_table(p);
   }
   void read_table(Proxy& p) {
@@ -334,9 +334,9 @@
       double upto = 0;
       for (auto it = p.held.lines.lower_bound({op, ""}); it != p.held.lines.end() && it->first.first == op;
            ++it)
-        if (it->second.picked() > 0)
+        if (it->second.effective_weight() > 0)
           if (const auto w = place.find(it->first.second); w != place.end())
-            p.picks[k].push_back({w->second, upto += it->second.picked()});
+            p.picks[k].push_back({w->second, upto += it->second.effective_weight()});
       const auto value = [&](const char* what, int otherwise) {
         const auto it = p.held.values.find(what + op);
         return it == p.held.values.end() ? otherwise : it->second;
@@ -542,8 +542,8 @@
     out.takeovers += st.taken_over ? 1 : 0;
     std::map<std::string, double> holds;
     for (const auto& [key, line] : p.held.lines)
-      if (line.picked() > 0)
-        holds[key.second] = std::max(holds[key.second], static_cast<double>(line.picked()));
+      if (line.effective_weight() > 0)
+        holds[key.second] = std::max(holds[key.second], static_cast<double>(line.effective_weight()));
     give(h, coordinator::ForwarderJoined{proxy_id(h, f), st.taken_over, std::move(holds)});
   }
 
@@ -1522,7 +1522,7 @@
   std::map<std::uint32_t, std::uint64_t> obeyed;  // the highest term, by forwarder
   std::map<std::uint32_t, Instant> joined_at;
   std::shared_ptr<const coordinator::DesiredTable> way_wanted;
-  forwarders::Held way_from;
+  forwarders::ActualTable way_from;
   std::vector<forwarders::Change> way;
   std::set<std::pair<std::size_t, std::size_t>> cut_zones, cut_hosts, slow_hosts;
   std::map<std::pair<std::size_t, std::size_t>, Span> slow_zones;
--- a/src/record/recorder.cpp
+++ b/src/record/recorder.cpp
@@ -64,7 +64,7 @@
   if (first) background_.request_run(write_);
 }
 
-std::map<std::string, std::uint64_t> Recorder::left_out() const {
+std::map<std::string, std::uint64_t> Recorder::dropped_counts() const {
   const std::lock_guard lock{lock_};
   return left_out_;
 }
@@ -116,14 +116,14 @@
 }
 
 background::StepResult Recorder::flush() {
-  const auto left_out = this->left_out();
+  const auto dropped_counts = this->dropped_counts();
   {
     const std::lock_guard lock{lock_};
     if (broken_) return {};
   }
   const std::lock_guard hold{writer_lock_};
   try {
-    for (const auto& [what, n] : left_out)
+    for (const auto& [what, n] : dropped_counts)
       if (std::exchange(told_[what], n) != n) writer_->missing(what, n);
     writer_->flush();
   } catch (const std::exception& fault) {
--- a/src/record/recorder.hpp
+++ b/src/record/recorder.hpp
@@ -39,7 +39,7 @@
 
   // Never waits for the disk.
   void step(Instant now, std::vector<coordinator::Input> inputs, const coordinator::Effects& effects);
-  [[nodiscard]] std::map<std::string, std::uint64_t> left_out() const;
+  [[nodiscard]] std::map<std::string, std::uint64_t> dropped_counts() const;
 
  private:
   struct Work {
--- a/src/runtime_api/codec.cpp
+++ b/src/runtime_api/codec.cpp
@@ -9,7 +9,7 @@
 namespace gorsemount::runtime_api {
 
 using forwarders::Change;
-using forwarders::State;
+using forwarders::ServerState;
 
 namespace {
 
@@ -77,16 +77,16 @@
   const std::string where = c.operation + "/" + c.worker;
   switch (c.what) {
     case Change::What::add:
-      return fmt::format("add server {} {} weight {} enabled", where, c.at.text(), c.number);
+      return fmt::format("add server {} {} weight {} enabled", where, c.endpoint.text(), c.number);
     case Change::What::weight:
       return fmt::format("set server {} weight {}", where, c.number);
     case Change::What::state:
       return fmt::format("set server {} state {}", where,
-                         c.state == State::ready   ? "ready"
-                         : c.state == State::drain ? "drain"
-                                                   : "maint");
+                         c.state == ServerState::ready   ? "ready"
+                         : c.state == ServerState::drain ? "drain"
+                                                         : "maint");
     case Change::What::address:
-      return fmt::format("set server {} addr {} port {}", where, c.at.address.text(), c.at.port);
+      return fmt::format("set server {} addr {} port {}", where, c.endpoint.address.text(), c.endpoint.port);
     case Change::What::remove:
       return fmt::format("del server {}", where);
     case Change::What::value: {
@@ -109,7 +109,7 @@
   return trimmed(answer).substr(0, 15) == "Unknown command";
 }
 
-std::variant<forwarders::Held, std::string> read_servers_state(std::string_view text) {
+std::variant<forwarders::ActualTable, std::string> read_servers_state(std::string_view text) {
   const auto lines = split(text, '\n');
   if (lines.size() < 2 || trimmed(lines[0]) != "1" || lines[1].substr(0, 2) != "# ")
     return std::string{"is no server state of format 1"};
@@ -119,22 +119,24 @@
           rows.missing({"be_name", "srv_name", "srv_addr", "srv_admin_state", "srv_uweight", "srv_port"});
       !fault.empty())
     return fault;
-  forwarders::Held held;
+  forwarders::ActualTable held;
   for (std::size_t k = 2; k < lines.size(); ++k) {
     if (trimmed(lines[k]).empty()) continue;
     rows.row(lines[k]);
     std::string fault;
-    forwarders::HeldLine line;
+    forwarders::ActualLine line;
     line.weight =
-        static_cast<int>(std::min<std::uint64_t>(forwarders::kWeightMost, rows.number("srv_uweight", fault)));
+        static_cast<int>(std::min<std::uint64_t>(forwarders::kMaxWeight, rows.number("srv_uweight", fault)));
     // The guide's bits: 1, 2 and 4 are kinds of maintenance, 8 and 16 of drain.
     const auto admin = rows.number("srv_admin_state", fault);
-    line.state = (admin & 7U) != 0 ? State::maint : (admin & 24U) != 0 ? State::drain : State::ready;
+    line.state = (admin & 7U) != 0    ? ServerState::maint
+                 : (admin & 24U) != 0 ? ServerState::drain
+                                      : ServerState::ready;
     const auto address = Address::parse(std::string{rows.text("srv_addr")});
     const auto port = rows.number("srv_port", fault);
     if (!address || port > 65535) fault = "'srv_addr' or 'srv_port' is no address";
     if (!fault.empty()) return fmt::format("line {}: {}", k + 1, fault);
-    line.at = {*address, static_cast<std::uint16_t>(port)};
+    line.endpoint = {*address, static_cast<std::uint16_t>(port)};
     held.lines[{std::string{rows.text("be_name")}, std::string{rows.text("srv_name")}}] = line;
   }
   return held;
--- a/src/runtime_api/codec.hpp
+++ b/src/runtime_api/codec.hpp
@@ -26,7 +26,7 @@
 [[nodiscard]] std::optional<std::uint64_t> read_variable(std::string_view text);
 
 // `show servers state` (format 1); columns by their names. A text that is none gives the fault.
-[[nodiscard]] std::variant<forwarders::Held, std::string> read_servers_state(std::string_view text);
+[[nodiscard]] std::variant<forwarders::ActualTable, std::string> read_servers_state(std::string_view text);
 // `show stat`: CSV by header name; unknown columns are passed over.
 [[nodiscard]] std::variant<forwarders::Reading, std::string> read_stat(std::string_view text);
 
--- a/src/runtime_api/command_server.cpp
+++ b/src/runtime_api/command_server.cpp
@@ -20,7 +20,7 @@
 
 CommandServer::~CommandServer() {
   gone_ = {};
-  drop_all();
+  disconnect_all();
 }
 
 void CommandServer::listen(const Endpoint& at) {
@@ -35,14 +35,14 @@
 
 void CommandServer::stop_listening() { tcp_.reset(), unix_.reset(); }
 
-void CommandServer::drop_all() {
+void CommandServer::disconnect_all() {
   for (const auto& [number, peer] : std::exchange(peers_, {})) {
     peer->connection->abort();
     if (gone_) gone_(number);
   }
 }
 
-void CommandServer::hold(bool on) {
+void CommandServer::set_paused(bool on) {
   held_ = on;
   if (on) return;
   const auto peers = peers_;
@@ -58,7 +58,7 @@
   }
 }
 
-void CommandServer::freeze_after(std::uint64_t peer, std::size_t bytes, std::function<void()> then) {
+void CommandServer::pause_after(std::uint64_t peer, std::size_t bytes, std::function<void()> then) {
   const auto it = peers_.find(peer);
   if (it != peers_.end()) it->second->left = bytes, it->second->then = std::move(then);
 }
@@ -75,7 +75,7 @@
 }
 
 // A peer that has closed meanwhile had sent this before: it comes all the same.
-void CommandServer::thaw() {
+void CommandServer::resume() {
   for (const auto& [number, peer] : std::exchange(frozen_, {})) {
     peer->frozen = false;
     const bool back = peers_.try_emplace(number, peer).second;
@@ -86,7 +86,7 @@
   }
 }
 
-void CommandServer::drop_frozen() {
+void CommandServer::drop_paused() {
   for (const auto& [number, peer] : std::exchange(frozen_, {})) {
     peer->frozen = false, peer->kept.clear();
     if (peers_.contains(number)) {
--- a/src/runtime_api/command_server.hpp
+++ b/src/runtime_api/command_server.hpp
@@ -32,17 +32,18 @@
   void listen(const std::string& path, unsigned mode);  // throws std::system_error
   void stop_listening();
   // Breaks all streams; for stand-ins.
-  void drop_all();
+  void disconnect_all();
   // While on, nothing is read from any peer's commands: for stand-ins that are slow.
-  void hold(bool on);
+  void set_paused(bool on);
   // For stand-ins: of what a peer sends from now on, that many bytes are taken. What follows stays on the
-  // way, and `then` is told, once; thaw() lets it come, unless the peer has gone for good with drop_frozen().
-  void freeze_after(std::uint64_t peer, std::size_t bytes, std::function<void()> then);
-  void thaw();
-  void drop_frozen();
+  // way, and `then` is told, once; resume() lets it come, unless the peer has gone for good with
+  // drop_paused().
+  void pause_after(std::uint64_t peer, std::size_t bytes, std::function<void()> then);
+  void resume();
+  void drop_paused();
   [[nodiscard]] std::size_t peers() const { return peers_.size(); }
   // Called when a peer has gone.
-  void on_gone(std::function<void(std::uint64_t)> gone) { gone_ = std::move(gone); }
+  void on_disconnect(std::function<void(std::uint64_t)> gone) { gone_ = std::move(gone); }
 
  private:
   struct Peer;
--- a/src/runtime_api/driver.cpp
+++ b/src/runtime_api/driver.cpp
@@ -8,8 +8,8 @@
 
 namespace gorsemount::runtime_api {
 
+using forwarders::ActualTable;
 using forwarders::Change;
-using forwarders::Held;
 
 namespace {
 
@@ -29,7 +29,7 @@
     if (connection_) connection_->abort();
   }
 
-  void lead(std::optional<std::uint64_t> term) {
+  void set_term(std::optional<std::uint64_t> term) {
     if (term == term_ && term.has_value() == led_) return;
     term_ = term;
     led_ = term.has_value(), taken_over_ = led_;
@@ -78,7 +78,7 @@
     };
     attempt_ = target_.path.empty() ? net::connect(d_.loop_, target_.at, {}, stands)
                                     : net::connect(d_.loop_, target_.path, stands);
-    patience_ = d_.loop_.after(d_.s_.answer_within, [this] { lost("no connection in time"); });
+    patience_ = d_.loop_.after(d_.s_.response_timeout, [this] { lost("no connection in time"); });
   }
 
   void lost(const std::string& why) {
@@ -94,7 +94,7 @@
     }
     wanted_.reset();  // what is wanted is told anew once it has joined
     d_.loop_.cancel(redial_);
-    if (led_) redial_ = d_.loop_.after(d_.s_.redial_after, [this] { dial(); });
+    if (led_) redial_ = d_.loop_.after(d_.s_.reconnect_delay, [this] { dial(); });
   }
 
   void ask(Kind kind, const std::string& text) {
@@ -107,7 +107,7 @@
   // One answer's time: a forwarder that stops answering is given up, and the others never wait for it.
   void wait() {
     d_.loop_.cancel(patience_);
-    patience_ = d_.loop_.after(d_.s_.answer_within, [this] { lost("no answer in time"); });
+    patience_ = d_.loop_.after(d_.s_.response_timeout, [this] { lost("no answer in time"); });
   }
 
   std::size_t data(std::string_view bytes) {
@@ -151,7 +151,7 @@
   void state(Kind kind, std::string_view text) {
     auto read = read_servers_state(text);
     if (const auto* fault = std::get_if<std::string>(&read)) return lost("show servers state " + *fault);
-    Held fresh = std::get<Held>(std::move(read));
+    ActualTable fresh = std::get<ActualTable>(std::move(read));
     // Only what we lead: a forwarder may have backends of its own.
     std::erase_if(fresh.lines, [this](const auto& row) {
       return std::find(d_.s_.operations.begin(), d_.s_.operations.end(), row.first.first) ==
@@ -165,11 +165,12 @@
     held_.lines = std::move(fresh.lines);
     if (!learned_) {
       learned_ = true;
-      held_.values.clear();  // a forwarder that restarted has forgotten them, and they can't be read in bulk
+      held_.variables
+          .clear();  // a forwarder that restarted has forgotten them, and they can't be read in bulk
       std::map<std::string, double> holds;
       for (const auto& [key, line] : held_.lines)
-        if (line.picked() > 0)
-          holds[key.second] = std::max(holds[key.second], static_cast<double>(line.picked()));
+        if (line.effective_weight() > 0)
+          holds[key.second] = std::max(holds[key.second], static_cast<double>(line.effective_weight()));
       d_.hooks_.report(
           coordinator::ForwarderJoined{target_.id, std::exchange(taken_over_, false), std::move(holds)});
       ask_stat();
@@ -178,7 +179,7 @@
     advance();
   }
 
-  static std::string difference(const Held& thought, const Held& found) {
+  static std::string difference(const ActualTable& thought, const ActualTable& found) {
     for (const auto& [key, line] : thought.lines) {
       const auto it = found.lines.find(key);
       if (it == found.lines.end()) return fmt::format("{}/{} is not there", key.first, key.second);
@@ -195,11 +196,11 @@
 
   void ask_stat() {
     ask(Kind::stat, "show stat");
-    stat_ = d_.loop_.after(d_.s_.report_every, [this] { ask_stat(); });
+    stat_ = d_.loop_.after(d_.s_.stats_interval, [this] { ask_stat(); });
   }
 
   void read_back() {
-    read_back_ = d_.loop_.after(d_.s_.read_back_every, [this] {
+    read_back_ = d_.loop_.after(d_.s_.verify_interval, [this] {
       if (!changing()) ask(Kind::read_back, "show servers state");
       read_back();
     });
@@ -288,7 +289,7 @@
   std::shared_ptr<net::Connection> connection_;
   std::deque<Pending> pending_;
   std::size_t scanned_ = 0;
-  Held held_;
+  ActualTable held_;
   std::shared_ptr<const coordinator::DesiredTable> wanted_;
   Instant wanted_at_;
   forwarders::Counters counters_;
@@ -305,7 +306,7 @@
 }
 Driver::~Driver() = default;
 
-std::shared_ptr<const Driver::Way> Driver::way(const Held& from,
+std::shared_ptr<const Driver::Way> Driver::way(const ActualTable& from,
                                                const std::shared_ptr<const coordinator::DesiredTable>& wanted,
                                                bool with_values) {
   for (const auto& known : {there_, last_})
@@ -318,8 +319,8 @@
   return fresh;
 }
 
-void Driver::lead(ProxyId forwarder, std::optional<std::uint64_t> term) {
-  if (const auto it = streams_.find(forwarder); it != streams_.end()) it->second->lead(term);
+void Driver::set_term(ProxyId forwarder, std::optional<std::uint64_t> term) {
+  if (const auto it = streams_.find(forwarder); it != streams_.end()) it->second->set_term(term);
 }
 
 void Driver::deliver(ProxyId forwarder, std::shared_ptr<const coordinator::DesiredTable> table) {
--- a/src/runtime_api/driver.hpp
+++ b/src/runtime_api/driver.hpp
@@ -25,8 +25,8 @@
   };
   std::vector<Target> targets;
   std::vector<std::string> operations;
-  bool shared = false;  // nobody is led until lead() says so
-  Span report_every, read_back_every, answer_within, redial_after;
+  bool shared = false;  // nobody is led until set_term() says so
+  Span stats_interval, verify_interval, response_timeout, reconnect_delay;
   std::string leader = {};  // this controller's name, told to forwarders in a shared fleet
 };
 
@@ -53,7 +53,7 @@
 
   // In a shared fleet: with a term the forwarder is led, under it; without one its stream is given up. Alone,
   // all are led, without terms.
-  void lead(ProxyId forwarder, std::optional<std::uint64_t> term);
+  void set_term(ProxyId forwarder, std::optional<std::uint64_t> term);
   void deliver(ProxyId forwarder, std::shared_ptr<const coordinator::DesiredTable> table);
 
   struct Status {
@@ -69,12 +69,12 @@
   // Forwarders bound to one table mostly hold the same, so their way to the next is worked out once.
   struct Way {
     std::shared_ptr<const coordinator::DesiredTable> wanted;
-    forwarders::Held from;
+    forwarders::ActualTable from;
     bool with_values = true;
     std::vector<forwarders::Change> changes;
     std::string text;
   };
-  [[nodiscard]] std::shared_ptr<const Way> way(const forwarders::Held& from,
+  [[nodiscard]] std::shared_ptr<const Way> way(const forwarders::ActualTable& from,
                                                const std::shared_ptr<const coordinator::DesiredTable>& wanted,
                                                bool with_values);
 
--- a/src/runtime_api/operators.cpp
+++ b/src/runtime_api/operator_console.cpp
@@ -1,4 +1,4 @@
-#include "runtime_api/operators.hpp"
+#include "runtime_api/operator_console.hpp"
 
 #include <fmt/format.h>
 #include <sodium.h>
@@ -86,26 +86,27 @@
 
 }  // namespace
 
-Operators::Operators(const coordinator::Coordinator& core, std::function<std::string(OperatorCommand)> order,
-                     std::function<std::vector<Driver::Status>()> forwarders, std::string token)
+OperatorConsole::OperatorConsole(const coordinator::Coordinator& core,
+                                 std::function<std::string(OperatorCommand)> order,
+                                 std::function<std::vector<Driver::Status>()> forwarders, std::string token)
     : core_{core}, order_{std::move(order)}, forwarders_{std::move(forwarders)}, token_{std::move(token)} {}
 
-void Operators::remember(const std::string& event,
-                         const std::vector<std::pair<std::string, std::string>>& fields) {
+void OperatorConsole::record_warning(const std::string& event,
+                                     const std::vector<std::pair<std::string, std::string>>& fields) {
   std::string said;
   for (const auto& [key, value] : fields) said += (said.empty() ? "" : " ") + key + "=" + value;
   errors_.push_back({{"event", event}, {"what", said}});
   if (errors_.size() > kErrors) errors_.pop_front();
 }
 
-std::vector<std::string> Operators::complete(const std::string& start) {
+std::vector<std::string> OperatorConsole::complete(const std::string& start) {
   std::vector<std::string> fit;
   for (const auto& c : kCommands)
     if (std::string_view{c.usage}.substr(0, start.size()) == start) fit.emplace_back(c.usage);
   return fit;
 }
 
-std::string Operators::handle(std::uint64_t peer, bool trusted, const std::string& command) {
+std::string OperatorConsole::handle(std::uint64_t peer, bool trusted, const std::string& command) {
   auto words = split_words(command);
   if (words.empty()) return "";
   // Over TCP nothing is told before the token is right; the comparison takes the same time wherever it
@@ -130,7 +131,7 @@
   return order(words);
 }
 
-std::string Operators::show(const std::vector<std::string>& words, bool json) {
+std::string OperatorConsole::show(const std::vector<std::string>& words, bool json) {
   const std::string what = words.size() > 1 ? words[1] : "";
   const std::string which = words.size() > 2 ? words[2] : "";
   Rows rows;
@@ -225,7 +226,7 @@
   return table_of(rows, json);
 }
 
-std::string Operators::order(const std::vector<std::string>& words) {
+std::string OperatorConsole::order(const std::vector<std::string>& words) {
   using Action = OperatorCommand::Action;
   const auto is = [&](std::size_t n, std::initializer_list<const char*> start) {
     if (words.size() != n) return false;
--- a/src/runtime_api/operators.hpp
+++ b/src/runtime_api/operator_console.hpp
@@ -13,26 +13,27 @@
 
 namespace gorsemount::runtime_api {
 
-class Operators {
+class OperatorConsole {
  public:
   // `order` hands an order to the core at once and returns its answer. `forwarders` may be empty.
-  Operators(const coordinator::Coordinator& core,
-            std::function<std::string(coordinator::OperatorCommand)> order,
-            std::function<std::vector<Driver::Status>()> forwarders, std::string token);
+  OperatorConsole(const coordinator::Coordinator& core,
+                  std::function<std::string(coordinator::OperatorCommand)> order,
+                  std::function<std::vector<Driver::Status>()> forwarders, std::string token);
 
   // What a shared fleet adds: `show cluster` rows, and `hand-over`. Absent: the coordinator stands alone.
   using Rows = std::vector<std::vector<std::pair<std::string, std::string>>>;
-  void in_cluster(std::function<Rows()> show, std::function<std::string()> hand_over) {
+  void set_cluster_source(std::function<Rows()> show, std::function<std::string()> hand_over) {
     cluster_ = std::move(show), hand_over_ = std::move(hand_over);
   }
 
   // `show work`: background tasks.
-  void at_work(std::function<Rows()> show) { work_ = std::move(show); }
+  void set_task_source(std::function<Rows()> show) { work_ = std::move(show); }
 
   [[nodiscard]] std::string handle(std::uint64_t peer, bool trusted, const std::string& command);
-  void gone(std::uint64_t peer) { known_.erase(peer); }
+  void disconnected(std::uint64_t peer) { known_.erase(peer); }
   // Warnings, for `show errors`: the last hundred.
-  void remember(const std::string& event, const std::vector<std::pair<std::string, std::string>>& fields);
+  void record_warning(const std::string& event,
+                      const std::vector<std::pair<std::string, std::string>>& fields);
 
   // Names of commands that begin with `start`; for completion.
   [[nodiscard]] static std::vector<std::string> complete(const std::string& start);
--- a/src/script/day.cpp
+++ b/src/script/day.cpp
@@ -30,7 +30,7 @@
 }
 
 std::string read_zone_name(config::Section& in, const Day& day) {
-  return day.zones[in.word("zone", day.zones, std::nullopt)];
+  return day.zones[in.choice("zone", day.zones, std::nullopt)];
 }
 
 void read_fleet(config::Section& root, Day& day) {
@@ -40,13 +40,13 @@
     DayOperation operation;
     operation.name = b->labels[0].first;
     const std::vector<std::string> effects{"idempotent", "fingerprinted", "side-effecting"};
-    operation.effect = effects[in.word("effect", effects, std::nullopt)];
+    operation.effect = effects[in.choice("effect", effects, std::nullopt)];
     operation.share = in.number("share", 1, {0, 1e6});
     operation.work = read_span(in, "work", std::nullopt);
     operation.latency_objective = read_span(in, "latency_objective", std::nullopt);
     operation.integration_timeout = read_span(in, "integration_timeout", std::nullopt);
     operation.billed_value = in.number("billed_value", 1, {0, 1e6});
-    in.done();
+    in.finish();
     day.operations.push_back(operation);
   }
   for (const auto* b : root.blocks("workers", 1)) {
@@ -59,7 +59,7 @@
     w.connect_cost = read_span(in, "connect_cost", 0), w.loss = in.number("loss", 0, {0, 10}),
     w.cancels = in.flag("cancels", true);
     w.queue_most = static_cast<int>(in.number("queue_most", 64, {0, 100000, true}));
-    in.done();
+    in.finish();
     day.workers.push_back(w);
   }
   for (const auto* b : root.blocks("clients", 1)) {
@@ -70,7 +70,7 @@
     c.rate = in.number("rate", 1, {0, 1000}, "invocations/s"),
     c.by_address = in.number("by_address", 0, {0, 1});
     c.disobedient = static_cast<int>(in.number("disobedient", 0, {0, 250, true}));
-    in.done();
+    in.finish();
     day.clients.push_back(c);
   }
   for (const auto* b : root.blocks("forwarders", 1)) {
@@ -80,13 +80,13 @@
     f.count = static_cast<int>(in.number("count", std::nullopt, {1, 250, true}));
     f.clients = static_cast<int>(in.number("clients", 0, {0, 250, true}));
     f.rate = in.number("rate", 1, {0, 1000}, "invocations/s"), f.two_choice = in.flag("two_choice", false);
-    in.done();
+    in.finish();
     day.forwarders.push_back(f);
   }
   for (const auto* b : root.blocks("coordinator", 1)) {
     config::Section in = make_section(*b, root);
     day.coordinators.push_back(read_zone(in));
-    in.done();
+    in.finish();
   }
 }
 
@@ -96,7 +96,7 @@
     Phase p{b->labels[0].first, read_span(in, "at", std::nullopt), in.number("rate", 1, {0, 100})};
     if (!day.phases.empty() && p.at <= day.phases.back().at)
       in.fault(in.place("at"), "phases must be in chronological order");
-    in.done();
+    in.finish();
     day.phases.push_back(p);
   }
   const std::vector<std::string> kinds{"crash",
@@ -122,10 +122,10 @@
     config::Section in = make_section(*b, root);
     InjectedFault t;
     t.name = b->labels[0].first;
-    t.kind = static_cast<InjectedFaultKind>(in.word("kind", kinds, std::nullopt));
+    t.kind = static_cast<InjectedFaultKind>(in.choice("kind", kinds, std::nullopt));
     std::vector<std::string> zones = day.zones;
     zones.emplace_back("");
-    t.zone = zones[in.word("zone", zones, zones.size() - 1)];
+    t.zone = zones[in.choice("zone", zones, zones.size() - 1)];
     t.at = read_span(in, "at", std::nullopt), t.lasts = read_span(in, "lasts", std::nullopt);
     t.count = static_cast<int>(in.number("count", 0, {0, 2500, true}));
     if (std::string to = in.text("to", ""); !to.empty()) {
@@ -138,7 +138,7 @@
     if ((t.kind == InjectedFaultKind::cut_link || t.kind == InjectedFaultKind::slow_link) && t.zone.empty())
       in.fault(in.at(), "a fault of a link needs a 'zone'");
     t.part = in.number("part", 1, {0, 1}), t.size = in.number("size", 1, {0, 1000});
-    in.done();
+    in.finish();
     day.troubles.push_back(t);
   }
   std::vector<std::string> names;
@@ -157,22 +157,22 @@
     if (times > 1 && every <= outage.lasts)
       in.fault(in.place("times"), "'times' above 1 needs an 'every' above 'lasts'");
     for (int k = 0; k < times; ++k) day.kills.push_back(outage), outage.at = outage.at + every;
-    in.done();
+    in.finish();
   }
   for (const auto* b : root.blocks("person", 1)) {
     using Action = coordinator::OperatorCommand::Action;
     config::Section in = make_section(*b, root);
     const std::vector<std::string> orders{"drain zone", "undrain zone", "hold", "release"};
     constexpr Action actions[] = {Action::drain_zone, Action::undrain_zone, Action::hold, Action::release};
-    const std::size_t k = in.word("order", orders, std::nullopt);
+    const std::size_t k = in.choice("order", orders, std::nullopt);
     ScriptedCommand scripted_command;
     if (k < 2) scripted_command.command.name = read_zone_name(in, day);
     scripted_command.command.action = actions[k], scripted_command.at = read_span(in, "at", std::nullopt);
     scripted_command.text = orders[k] + (k < 2 ? " " + scripted_command.command.name : "");
-    in.done();
+    in.finish();
     day.operator_commands.push_back(std::move(scripted_command));
   }
-  config::Section cuts = root.only("cuts");
+  config::Section cuts = root.block("cuts");
   day.cuts.count = static_cast<int>(cuts.number("count", 0, {0, 1000, true}));
   day.cuts.first = read_span(cuts, "first", 2), day.cuts.every = read_span(cuts, "every", 1),
   day.cuts.lasts = read_span(cuts, "lasts", 0.4);
@@ -180,7 +180,7 @@
   day.cuts.pause = cuts.flag("pause", false);
   if (day.cuts.count > 0 && (day.forwarders.empty() || !day.shared || day.cuts.every <= day.cuts.lasts))
     cuts.fault(cuts.at(), "cuts need forwarders, a shared fleet, and 'every' above 'lasts'");
-  cuts.done();
+  cuts.finish();
 }
 
 }  // namespace
@@ -195,13 +195,13 @@
     config::Section zone = make_section(*b, root);
     day.zones.push_back(b->labels[0].first);
     for (const auto& [name, at] : zone.texts("near")) day.near[day.zones.back()].push_back(name);
-    zone.done();
+    zone.finish();
   }
   if (day.zones.empty() || day.zones.size() > 8) {
     root.fault(root.at(), "expected 1 to 8 zones");
     return day;
   }
-  config::Section section = root.only("day");
+  config::Section section = root.block("day");
   day.name = section.text("name", "day"), day.origin = section.text("origin", "refill.pwani.test");
   day.seed = static_cast<std::uint64_t>(section.number("seed", 1, {0, 1e15, true}));
   day.length = section.span("length", std::nullopt, Span::seconds(1), kMaxDuration);
@@ -210,8 +210,8 @@
   day.lease = read_span(section, "lease", 1);
   day.record = section.flag("record", false), day.keeps = section.flag("keeps", false);
   day.churn = read_span(section, "churn", 0);
-  section.done();
-  config::Section rules = root.only("rules");
+  section.finish();
+  config::Section rules = root.block("rules");
   day.drain_grace = read_span(rules, "drain_grace", 5), day.unserved = read_span(rules, "unserved", 3);
   day.cold_for = read_span(rules, "cold_for", 10), day.tip_after = read_span(rules, "tip_after", 2);
   day.cold_from = rules.number("cold_from", 0.2, {0.01, 1}),
@@ -223,21 +223,21 @@
   day.levels = rules.flag("levels", false);
   day.spill = rules.flag("spill", false);
   day.fleet_rate = rules.number("fleet_rate", 0, {0, 1e9}, "invocations/s");
-  rules.done();
+  rules.finish();
   read_fleet(root, day);
   read_events(root, day);
-  config::Section unsafe = root.only("unsafe");
+  config::Section unsafe = root.block("unsafe");
   day.unsafe.repeat_all = unsafe.flag("repeat_all", false);
   day.unsafe.drain_untold = unsafe.flag("drain_untold", false);
   day.unsafe.no_fence = unsafe.flag("no_fence", false);
   day.unsafe.fixed_weights = unsafe.flag("fixed_weights", false);
   day.unsafe.backlog_judged = unsafe.number("backlog_judged", 0, {0, 1e9}, "lines");
   day.unsafe.no_ramp = unsafe.flag("no_ramp", false);
-  unsafe.done();
+  unsafe.finish();
   if (day.operations.empty() || day.workers.empty() || day.clients.empty() || day.coordinators.empty())
     root.fault(root.at(), "expected at least one block each of: operation, workers, clients, coordinator");
   if (day.phases.empty()) day.phases.push_back({"day", Span{}, 1});
-  root.done();
+  root.finish();
   return day;
 }
 
--- a/src/standins/forwarder.cpp
+++ b/src/standins/forwarder.cpp
@@ -6,7 +6,7 @@
 
 namespace gorsemount::standins {
 
-using forwarders::State;
+using forwarders::ServerState;
 
 namespace {
 
@@ -40,7 +40,7 @@
                  return command(peer, text);
                },
                {}} {
-  runtime_.on_gone([this](std::uint64_t peer) {
+  runtime_.on_disconnect([this](std::uint64_t peer) {
     terms_.erase(peer), leaders_.erase(peer);
     if (leader_streams_.erase(peer) > 0) recorder_.write(loop_.now(), "left", {{"forwarder", s_.name}});
   });
@@ -58,7 +58,7 @@
       retry_limiter_ = {};
   for (const auto& operation : s_.operations)
     for (const auto& line : s_.initial_servers)
-      lines_[{operation.name, line.name}].held = {line.at, 100, State::ready};
+      lines_[{operation.name, line.name}].held = {line.at, 100, ServerState::ready};
 }
 
 void Forwarder::restart() {
@@ -68,7 +68,7 @@
   recorder_.write(loop_.now(), "forwarder_start", {{"forwarder", s_.name}});
 }
 
-void Forwarder::break_streams() { runtime_.drop_all(); }
+void Forwarder::break_streams() { runtime_.disconnect_all(); }
 
 void Forwarder::cut_after(std::size_t bytes, std::function<void(const std::string&)> then) {
   cut_after_bytes_ = bytes, cut_callback_ = std::move(then);
@@ -76,7 +76,7 @@
 
 void Forwarder::inject_fault(std::optional<InjectedFaultKind> kind) {
   const bool slow = kind == InjectedFaultKind::forwarder_slow;
-  if ((fault_ == InjectedFaultKind::forwarder_slow) != slow) runtime_.hold(slow);
+  if ((fault_ == InjectedFaultKind::forwarder_slow) != slow) runtime_.set_paused(slow);
   fault_ = kind;
 }
 
@@ -139,8 +139,8 @@
     if (term->second < highest_term_ && s_.fences) return "Permission denied: a higher term was seen\n";
     recorder_.write(loop_.now(), "obeyed", {{"forwarder", s_.name}, {"term", term->second}});
     if (cut_callback_)
-      runtime_.freeze_after(peer, cut_after_bytes_,
-                            [this, peer, then = std::exchange(cut_callback_, {})] { then(leaders_[peer]); });
+      runtime_.pause_after(peer, cut_after_bytes_,
+                           [this, peer, then = std::exchange(cut_callback_, {})] { then(leaders_[peer]); });
   }
   paused_until_ = std::max(paused_until_, loop_.now()) + kCommandPause;
   if (is({"set", "var"}) && words.size() == 4 && words[2].starts_with("proc.gm_") &&
@@ -158,20 +158,21 @@
     const auto at = words.size() > 3 ? Endpoint::parse(words[3]) : std::nullopt;
     if (!at) return "Invalid address.\n";
     Line& line = lines_[key];
-    line.held = {*at, 100, State::maint};
+    line.held = {*at, 100, ServerState::maint};
     for (std::size_t k = 4; k < words.size(); ++k) {
       if (words[k] == "weight" && k + 1 < words.size()) line.held.weight = std::atoi(words[++k].c_str());
-      if (words[k] == "enabled") line.held.state = State::ready;
+      if (words[k] == "enabled") line.held.state = ServerState::ready;
     }
     return "New server registered.\n";
   }
   if (it == lines_.end()) return "No such server.\n";
   if (is({"del"})) {
-    if (it->second.held.state != State::maint) return "Only servers in maintenance mode can be deleted.\n";
+    if (it->second.held.state != ServerState::maint)
+      return "Only servers in maintenance mode can be deleted.\n";
     lines_.erase(it);
     return "Server deleted.\n";
   }
-  it->second.held.state = is({"enable"}) ? State::ready : State::maint;
+  it->second.held.state = is({"enable"}) ? ServerState::ready : ServerState::maint;
   return "";
 }
 
@@ -186,19 +187,21 @@
     char* end = nullptr;
     double number = std::strtod(words[4].c_str(), &end);
     if (*end == '%') number = held.weight * number / 100, ++end;
-    if (*end != 0 || number < 0 || number > forwarders::kWeightMost)
+    if (*end != 0 || number < 0 || number > forwarders::kMaxWeight)
       return "Absolute weight can only be between 0 and 256 inclusive.\n";
     held.weight = static_cast<int>(number);
   } else if (words[3] == "state") {
     if (words[4] != "ready" && words[4] != "drain" && words[4] != "maint")
       return "'set server <srv> state' expects 'ready', 'drain' and 'maint'.\n";
-    held.state = words[4] == "ready" ? State::ready : words[4] == "drain" ? State::drain : State::maint;
+    held.state = words[4] == "ready"   ? ServerState::ready
+                 : words[4] == "drain" ? ServerState::drain
+                                       : ServerState::maint;
   } else if (words[3] == "addr") {
     const auto address = Address::parse(words[4]);
     if (!address) return "Invalid addr format.\n";
-    held.at.address = *address;
+    held.endpoint.address = *address;
     if (words.size() > 6 && words[5] == "port")
-      held.at.port = static_cast<std::uint16_t>(std::atoi(words[6].c_str()));
+      held.endpoint.port = static_cast<std::uint16_t>(std::atoi(words[6].c_str()));
     it->second.consecutive_failures = 0, it->second.avoid_until = {};
     return "IP changed from 'somewhere' by 'stats socket command'\n";
   } else {
@@ -215,11 +218,11 @@
   for (const auto& [key, line] : lines_) {
     const auto& h = line.held;
     out += fmt::format("3 {} {} {} {} {} {} {} 100 0 1 {}\n", key.first, ++number, key.second,
-                       h.at.address.text(), h.state == State::maint ? 0 : 2,
-                       h.state == State::maint   ? 1
-                       : h.state == State::drain ? 8
-                                                 : 0,
-                       h.weight, h.at.port);
+                       h.endpoint.address.text(), h.state == ServerState::maint ? 0 : 2,
+                       h.state == ServerState::maint   ? 1
+                       : h.state == ServerState::drain ? 8
+                                                       : 0,
+                       h.weight, h.endpoint.port);
   }
   return out;
 }
@@ -289,7 +292,7 @@
   std::vector<std::pair<std::string, const Line*>> candidates;
   for (const bool all : {false, true}) {
     for (const auto& [key, line] : lines_)
-      if (key.first == operation && line.held.picked() > 0 &&
+      if (key.first == operation && line.held.effective_weight() > 0 &&
           (all || (loop_.now() >= line.avoid_until &&
                    std::find(call.tried.begin(), call.tried.end(), key.second) == call.tried.end())))
         candidates.emplace_back(key.second, &line);
@@ -297,7 +300,7 @@
   }
   if (candidates.empty()) return {};
   std::vector<double> weights;
-  for (const auto& [name, line] : candidates) weights.push_back(line->held.picked());
+  for (const auto& [name, line] : candidates) weights.push_back(line->held.effective_weight());
   std::discrete_distribution<std::size_t> draw{weights.begin(), weights.end()};
   const auto* chosen = &candidates[draw(random_)];
   if (s_.two_choice) {
@@ -320,11 +323,11 @@
   call->tried.push_back(*worker);
   recorder_.write(loop_.now(), "sent",
                   {{"id", call->id},
-                   {"to", line.held.at.text()},
+                   {"to", line.held.endpoint.text()},
                    {"obeys", true},
                    {"forwarder", s_.name},
                    {"operation", operation.name}});
-  const Endpoint to = line.held.at;
+  const Endpoint to = line.held.endpoint;
   auto& idle = pool_[to];
   std::unique_ptr<net::HttpClient> http;
   if (idle.empty()) {
--- a/src/standins/forwarder.hpp
+++ b/src/standins/forwarder.hpp
@@ -41,14 +41,14 @@
   // Reads only the next `bytes` of commands; the rest stays in flight. Then calls `then` with the sender's
   // name.
   void cut_after(std::size_t bytes, std::function<void(const std::string& leader)> then);
-  void resume_commands() { runtime_.thaw(); }
-  void drop_pending_commands() { runtime_.drop_frozen(); }
+  void resume_commands() { runtime_.resume(); }
+  void drop_pending_commands() { runtime_.drop_paused(); }
   [[nodiscard]] const ForwarderSettings& settings() const { return s_; }
 
  private:
   using Key = std::pair<std::string, std::string>;
   struct Line {
-    forwarders::HeldLine held;
+    forwarders::ActualLine held;
     std::uint64_t tries = 0, errored = 0, failed = 0;  // failed: 5xx responses
     double latency = 0;
     int in_flight = 0, consecutive_failures = 0;
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -83,7 +83,7 @@
     left = left || (v.path == "rules.drain_grace" && v.value == "5s" && v.source == "default");
   }
   EXPECT_TRUE(set && left);
-  EXPECT_EQ(fixed_part(s), fixed_part(s));
+  EXPECT_EQ(non_reloadable_settings(s), non_reloadable_settings(s));
 }
 
 TEST(Settings, EachMistakeIsNamedWithWhatWasExpected) {
--- a/tests/forwarders/plan_test.cpp
+++ b/tests/forwarders/plan_test.cpp
@@ -23,8 +23,8 @@
   t.operations.push_back({"read", std::move(lines), {}, -1});
   return t;
 }
-Held after(const Held& held, const std::vector<Change>& changes) {
-  Held now = held;
+ActualTable after(const ActualTable& held, const std::vector<Change>& changes) {
+  ActualTable now = held;
   for (const auto& c : changes) apply(now, c);
   return now;
 }
@@ -35,7 +35,7 @@
   lines[0].weight = 0.01;  // far below a step of the range
   lines[1].weight = 0.3, lines[2].weight = 0.5;
   lines[3] = line(3, 0.155, true);
-  const auto numbers = whole_weights(lines);
+  const auto numbers = integer_weights(lines);
   EXPECT_EQ(numbers[0], 1) << "wanted, so never 0";
   EXPECT_EQ(numbers[15], 192);
   for (const int k : {1, 2})
@@ -43,7 +43,7 @@
                 0.5 / 192);
   EXPECT_EQ(numbers[3], 9) << "cold: rounded down";
   lines[5].weight = 2.4;
-  const auto other = whole_weights(lines);
+  const auto other = integer_weights(lines);
   for (std::size_t k = 0; k < 16; ++k)
     if (k != 5) {
       EXPECT_EQ(other[k], numbers[k]) << "a line that did not change keeps its number";
@@ -56,7 +56,7 @@
   const auto upto = [&](unsigned n) { return static_cast<int>(chance() % n); };
   std::size_t prefixes = 0;
   for (int round = 0; round < 4000; ++round) {
-    Held held;
+    ActualTable held;
     std::set<std::string> gone, cold;
     std::vector<DesiredLine> lines;
     for (int k = 0; k < 2 + upto(10); ++k) {
@@ -65,8 +65,8 @@
       if (upto(4) != 0) {
         auto at = line(k, 1).at;
         if (upto(12) == 0) at.port = 9999;
-        held.lines[{"read", "w" + std::to_string(k)}] = {at, 1 + upto(256),
-                                                         upto(6) == 0 ? State::drain : State::ready};
+        held.lines[{"read", "w" + std::to_string(k)}] = {
+            at, 1 + upto(256), upto(6) == 0 ? ServerState::drain : ServerState::ready};
       }
       if (upto(4) != 0) {
         lines.push_back(line(k, 0.01 * (1 + upto(300)), is_cold));
@@ -76,48 +76,49 @@
     }
     if (lines.empty()) continue;
     const auto wanted = table(lines);
-    const auto numbers = whole_weights(lines);
+    const auto numbers = integer_weights(lines);
     const auto changes = plan(held, wanted, true);
-    const auto sum = [](const Held& h) {
+    const auto sum = [](const ActualTable& h) {
       double s = 0;
-      for (const auto& [key, l] : h.lines) s += l.picked();
+      for (const auto& [key, l] : h.lines) s += l.effective_weight();
       return s;
     };
     const auto had = [&](const std::string& w) {
       const auto it = held.lines.find({"read", w});
-      return it == held.lines.end() ? 0 : it->second.picked();
+      return it == held.lines.end() ? 0 : it->second.effective_weight();
     };
-    const Held end = after(held, changes);
+    const ActualTable end = after(held, changes);
     for (std::size_t k = 0; k < lines.size(); ++k) {
       const auto& l = end.lines.at({"read", lines[k].name});
-      EXPECT_EQ(l.picked(), numbers[k]);
-      EXPECT_EQ(l.at, lines[k].at);
+      EXPECT_EQ(l.effective_weight(), numbers[k]);
+      EXPECT_EQ(l.endpoint, lines[k].at);
     }
     for (const auto& w : gone)
       if (const auto it = end.lines.find({"read", w}); it != end.lines.end()) {
-        EXPECT_EQ(it->second.picked(), 0);
+        EXPECT_EQ(it->second.effective_weight(), 0);
       }
     EXPECT_TRUE(plan(end, wanted, true).empty()) << "nothing is left to do";
-    const auto warm = [&](const Held& h) {
+    const auto warm = [&](const ActualTable& h) {
       double w = 0;
-      for (const auto& [key, l] : h.lines) w += cold.contains(key.second) ? 0 : l.picked();
+      for (const auto& [key, l] : h.lines) w += cold.contains(key.second) ? 0 : l.effective_weight();
       return w;
     };
     // Of what it held, what stays where it is: a line whose address changes is another process.
     bool stays = false;
-    for (const auto& [key, l] : held.lines) stays = stays || (l.picked() > 0 && l.at.port != 9999);
+    for (const auto& [key, l] : held.lines)
+      stays = stays || (l.effective_weight() > 0 && l.endpoint.port != 9999);
     const bool warm_keeps = std::any_of(lines.begin(), lines.end(), [&](const auto& l) {
       const auto it = held.lines.find({"read", l.name});
-      return !l.cold && (it == held.lines.end() || it->second.at.port != 9999);
+      return !l.cold && (it == held.lines.end() || it->second.endpoint.port != 9999);
     });
-    Held now = held;
+    ActualTable now = held;
     for (const auto& c : changes) {
       apply(now, c);
       ++prefixes;
       for (const auto& w : gone) {
         const auto it = now.lines.find({"read", w});
         if (it != now.lines.end()) {
-          EXPECT_LE(it->second.picked(), had(w)) << "rule 3: raised though it is to get nothing";
+          EXPECT_LE(it->second.effective_weight(), had(w)) << "rule 3: raised though it is to get nothing";
         }
       }
       if (stays) {
@@ -127,8 +128,8 @@
       for (std::size_t k = 0; k < lines.size(); ++k) {
         if (!lines[k].cold) continue;
         const auto it = now.lines.find({"read", lines[k].name});
-        if (it != now.lines.end() && it->second.at.port == 9999) continue;  // the process before
-        const double ratio = it == now.lines.end() ? 0 : it->second.picked() / warm(now);
+        if (it != now.lines.end() && it->second.endpoint.port == 9999) continue;  // the process before
+        const double ratio = it == now.lines.end() ? 0 : it->second.effective_weight() / warm(now);
         const double bound = std::max(warm(held) > 0 ? had(lines[k].name) / warm(held) : 1e9,
                                       warm(end) > 0 ? numbers[k] / warm(end) : 1e9);
         EXPECT_LE(ratio, bound + 1e-9) << "rule 4, round " << round;
@@ -139,12 +140,12 @@
 }
 
 TEST(Plan, NeverWipesAndRemovesNamesThatAreNoMore) {
-  Held held;
-  held.lines[{"read", "w1"}] = {line(1, 1).at, 100, State::ready};
-  held.lines[{"read", "old"}] = {line(2, 1).at, 100, State::ready};
+  ActualTable held;
+  held.lines[{"read", "w1"}] = {line(1, 1).at, 100, ServerState::ready};
+  held.lines[{"read", "old"}] = {line(2, 1).at, 100, ServerState::ready};
   EXPECT_TRUE(plan(held, table({}), false).empty());
   const auto changes = plan(held, table({line(1, 1)}), false);
-  const Held end = after(held, changes);
+  const ActualTable end = after(held, changes);
   EXPECT_EQ(end.lines.size(), 1U);
   EXPECT_EQ(changes.back().what, Change::What::remove);
 }
@@ -173,13 +174,13 @@
 TEST(Codec, CommandsAndAnswersAsTheGuideHasThem) {
   using runtime_api::command;
   const Endpoint at = *Endpoint::parse("127.0.0.1:9000");
-  EXPECT_EQ(command({Change::What::add, "read", "w1", 12, State::ready, at}),
+  EXPECT_EQ(command({Change::What::add, "read", "w1", 12, ServerState::ready, at}),
             "add server read/w1 127.0.0.1:9000 weight 12 enabled");
-  EXPECT_EQ(command({Change::What::weight, "read", "w1", 12, State::ready, {}}),
+  EXPECT_EQ(command({Change::What::weight, "read", "w1", 12, ServerState::ready, {}}),
             "set server read/w1 weight 12");
-  EXPECT_EQ(command({Change::What::state, "read", "w1", 0, State::drain, {}}),
+  EXPECT_EQ(command({Change::What::state, "read", "w1", 0, ServerState::drain, {}}),
             "set server read/w1 state drain");
-  EXPECT_EQ(command({Change::What::value, "", "level_place-order", 780, State::ready, {}}),
+  EXPECT_EQ(command({Change::What::value, "", "level_place-order", 780, ServerState::ready, {}}),
             "set var proc.gm_level_place_order int(780)");
   EXPECT_TRUE(runtime_api::is_done("\n"));
   EXPECT_TRUE(runtime_api::is_done("New server registered.\n\n"));
@@ -193,12 +194,12 @@
       "extra srv_port\n"
       "3 read 1 w1 127.0.0.1 2 0 128 1 - 9000\n3 read 2 w2 127.0.0.2 2 8 64 1 - 9000\n3 read 3 w3 127.0.0.3 "
       "0 1 64 1 - 9000\n\n");
-  ASSERT_TRUE(std::holds_alternative<Held>(held)) << std::get<std::string>(held);
-  const auto& lines = std::get<Held>(held).lines;
+  ASSERT_TRUE(std::holds_alternative<ActualTable>(held)) << std::get<std::string>(held);
+  const auto& lines = std::get<ActualTable>(held).lines;
   const auto state = [&](const char* w) { return lines.at({"read", w}).state; };
-  EXPECT_EQ(state("w1"), State::ready);
-  EXPECT_EQ(state("w2"), State::drain);
-  EXPECT_EQ(state("w3"), State::maint);
+  EXPECT_EQ(state("w1"), ServerState::ready);
+  EXPECT_EQ(state("w2"), ServerState::drain);
+  EXPECT_EQ(state("w3"), ServerState::maint);
   for (const char* bad :
        {"", "2\n# be_name\n", "1\nno header\n", "1\n# be_name srv_name\n", "Unknown command: 'show'",
         "1\n# be_name srv_name srv_addr srv_admin_state srv_uweight srv_port\nread w1 nowhere 0 1 9000\n",
@@ -226,7 +227,7 @@
   EXPECT_EQ(values_of(wanted).at("retries"), 350);
   const auto changes = plan({}, wanted, true);
   ASSERT_EQ(changes.size(), 1U);
-  Held held;
+  ActualTable held;
   apply(held, changes[0]);
   EXPECT_TRUE(plan(held, wanted, true).empty());
   Counters counters;
--- a/tests/lab/windows_test.cpp
+++ b/tests/lab/windows_test.cpp
@@ -128,10 +128,10 @@
   SimulationSettings world;
   const std::vector<Variant> variants{{"as it is", "", {}},
                                       {"slow reports", "", {read_override("coordinator.report_every=4s")}}};
-  const auto whole = play(day, variants, 1, 2, world, [](double) {});
+  const auto whole = run_variants(day, variants, 1, 2, world, [](double) {});
   WindowPlan plan;
   plan.length = s(100);
-  const auto windowed = play_windows(day, variants, plan, 1, world, [](double) {});
+  const auto windowed = run_windows(day, variants, plan, 1, world, [](double) {});
   for (std::size_t v = 0; v < 2; ++v) {
     EXPECT_NEAR(windowed.variants[v].whole.service(), whole[v].whole.service(), 0.01);
     EXPECT_NEAR(static_cast<double>(windowed.variants[v].whole.invocations),
@@ -141,9 +141,9 @@
   EXPECT_NE(windowed.variants[1].against_first.mean, 0);
   EXPECT_NEAR(windowed.variants[1].against_first.mean, whole[1].whole.service() - whole[0].whole.service(),
               0.01)
-      << table(day, windowed);
-  const auto again = play_windows(day, variants, plan, 3, world, [](double) {});
-  EXPECT_EQ(table(day, windowed), table(day, again)) << "three jobs as one";
+      << text_report(day, windowed);
+  const auto again = run_windows(day, variants, plan, 3, world, [](double) {});
+  EXPECT_EQ(text_report(day, windowed), text_report(day, again)) << "three jobs as one";
 }
 
 TEST(Windows, AThinnedDayIsAsBusyAsBefore) {
@@ -152,16 +152,16 @@
   for (auto& w : day.workers) w.count = 20;
   for (auto& c : day.clients) c.count = 40;
   day.troubles[0].count = 10;
-  const auto thin = thinned(day, 4);
+  const auto thin = scaled_down(day, 4);
   EXPECT_EQ(thin.workers[0].count, 5);
   EXPECT_EQ(thin.clients[1].count, 10);
   EXPECT_EQ(thin.troubles[0].count, 3);
   const std::vector<Variant> variants{{"as it is", "", {}}};
-  const auto all = play(day, variants, 3, 1, {}, [](double) {}),
-             few = play(thin, variants, 3, 1, {}, [](double) {});
+  const auto all = run_variants(day, variants, 3, 1, {}, [](double) {}),
+             few = run_variants(thin, variants, 3, 1, {}, [](double) {});
   EXPECT_NEAR(few[0].whole.service(), all[0].whole.service(), 0.03);
   try {
-    static_cast<void>(thinned(day, 50));
+    static_cast<void>(scaled_down(day, 50));
     ADD_FAILURE() << "nobody would be left";
   } catch (const std::runtime_error& fault) {
     EXPECT_NE(std::string{fault.what()}.find("workers of kariakoo are 20"), std::string::npos)
--- a/tests/lab/zone_drain_test.cpp
+++ b/tests/lab/zone_drain_test.cpp
@@ -32,7 +32,7 @@
   scripted_command.command.action = coordinator::OperatorCommand::Action::drain_zone,
   scripted_command.command.name = "ubungo";
   day.operator_commands.push_back(scripted_command);
-  const auto played = play(day, {{"as it is", "", {}}}, 2, 1, {}, [](double) {});
+  const auto played = run_variants(day, {{"as it is", "", {}}}, 2, 1, {}, [](double) {});
   const Tally& all = played[0].whole;
   EXPECT_GT(static_cast<double>(all.rate_limited), 0.1 * static_cast<double>(all.invocations));
   EXPECT_GT(all.service(), 0.5);
--- a/tests/record/record_test.cpp
+++ b/tests/record/record_test.cpp
@@ -12,7 +12,7 @@
 #include "config/settings.hpp"
 #include "coordinator/fixture.hpp"
 #include "lab/replay/compare.hpp"
-#include "lab/replay/same.hpp"
+#include "lab/replay/step_replay.hpp"
 #include "net/loop.hpp"
 #include "record/codec.hpp"
 #include "record/recorder.hpp"
@@ -203,7 +203,7 @@
   // More than the writer keeps up with: nothing waits, and what was left out is counted.
   Recorder recorder{background, {folder.at("a.h5"), 1U << 30U, 4}, {}, Instant{}, [](const std::string&) {}};
   for (int k = 0; k < 3000; ++k) recorder.step(Instant::at_seconds(k), some_inputs(), Effects{});
-  const auto left = recorder.left_out();
+  const auto left = recorder.dropped_counts();
   EXPECT_GT(left.at("steps"), 0U);
   EXPECT_GE(left.at("orders"), left.at("inputs"));
 }
@@ -250,12 +250,12 @@
   }
   auto r = read(folder.at("a.h5"));
   ASSERT_GT(r.steps.size(), 200U);
-  const auto same = lab::same_orders(r);
+  const auto same = lab::replay_steps(r);
   EXPECT_EQ(same.difference, "");
   EXPECT_EQ(same.compared, r.steps.size());
   // One input less, far in: found at the first step that it changes.
   for (std::size_t k = 62; k < 120; ++k) r.steps[k].inputs = encode({}, Instant{});
-  const auto other = lab::same_orders(r);
+  const auto other = lab::replay_steps(r);
   EXPECT_NE(other.difference.find("recorded:"), std::string::npos);
   EXPECT_GE(other.compared, 62U);
 }
@@ -285,9 +285,9 @@
 
 TEST(Override, PutsAValueInPlaceOrNamesWhatIsWrong) {
   const auto o = lab::read_override("rules.drain_grace=2s");
-  EXPECT_NE(lab::put("rules {\n  drain_grace = \"5s\"\n}\n", o).find("drain_grace = \"2s\""),
+  EXPECT_NE(lab::apply_override("rules {\n  drain_grace = \"5s\"\n}\n", o).find("drain_grace = \"2s\""),
             std::string::npos);
-  EXPECT_NE(lab::put("", o).find("rules {\n  drain_grace = \"2s\"\n}"), std::string::npos);
+  EXPECT_NE(lab::apply_override("", o).find("rules {\n  drain_grace = \"2s\"\n}"), std::string::npos);
   for (const char* bad : {"rules", "rules.x", ".x=1", "rules.=1", "rules.x="})
     EXPECT_THROW(static_cast<void>(lab::read_override(bad)), std::runtime_error) << bad;
 }
--- a/tests/runtime_api/driver_test.cpp
+++ b/tests/runtime_api/driver_test.cpp
@@ -7,7 +7,7 @@
 #include <random>
 
 #include "../coordinator/fixture.hpp"
-#include "runtime_api/operators.hpp"
+#include "runtime_api/operator_console.hpp"
 #include "standins/auditor.hpp"
 #include "standins/forwarder.hpp"
 
@@ -51,8 +51,8 @@
       s.targets.push_back({ProxyId{static_cast<std::uint16_t>(30000 + k)}, f.name, f.runtime, ""});
     }
     s.operations = {"read"};
-    s.report_every = Span::seconds(0.05), s.read_back_every = Span::seconds(0.1);
-    s.answer_within = Span::seconds(0.5), s.redial_after = Span::seconds(0.05);
+    s.stats_interval = Span::seconds(0.05), s.verify_interval = Span::seconds(0.1);
+    s.response_timeout = Span::seconds(0.5), s.reconnect_delay = Span::seconds(0.05);
     driver = std::make_unique<Driver>(
         loop, s,
         DriverHooks{[this](coordinator::Input i) {
@@ -88,7 +88,7 @@
       driver->deliver(ProxyId{static_cast<std::uint16_t>(30000 + k)}, wanted);
   }
   // What a person at the forwarder's socket would see.
-  forwarders::Held seen(std::size_t k) {
+  forwarders::ActualTable seen(std::size_t k) {
     std::string text;
     const auto attempt = net::connect(loop, forwarders[k]->settings().runtime, {}, [&](net::Fd fd, int) {
       peer = net::Connection::make(
@@ -98,8 +98,8 @@
     });
     run(0.05);
     const auto read = read_servers_state(text);
-    return std::holds_alternative<forwarders::Held>(read) ? std::get<forwarders::Held>(read)
-                                                          : forwarders::Held{};
+    return std::holds_alternative<forwarders::ActualTable>(read) ? std::get<forwarders::ActualTable>(read)
+                                                                 : forwarders::ActualTable{};
   }
   void say(std::size_t k, const std::string& command) {
     const auto attempt = net::connect(loop, forwarders[k]->settings().runtime, {}, [&](net::Fd fd, int) {
@@ -113,7 +113,7 @@
   int weight(std::size_t k, const std::string& worker) {
     const auto held = seen(k);
     const auto it = held.lines.find({"read", worker});
-    return it == held.lines.end() ? -1 : it->second.picked();
+    return it == held.lines.end() ? -1 : it->second.effective_weight();
   }
 
   std::filesystem::path file =
@@ -148,7 +148,7 @@
 
 TEST(Driver, LeadsOverAUnixSocketToo) {
   net::Loop loop;
-  forwarders::Held seen;
+  forwarders::ActualTable seen;
   CommandServer server{loop,
                        [&](std::uint64_t, const std::string& c, const std::string&) -> std::string {
                          if (c == "show servers state")
@@ -292,13 +292,13 @@
     s.forwarders[0]->break_streams();
     const auto held = s.seen(0);
     int picked = 0;
-    for (const auto& [key, line] : held.lines) picked += line.picked();
+    for (const auto& [key, line] : held.lines) picked += line.effective_weight();
     EXPECT_GT(picked, 0) << "round " << round;
   }
   s.run(0.5);
   const auto held = s.seen(0);
   for (const auto& line : s.wanted->operations[0].lines)
-    EXPECT_GT(held.lines.at({"read", line.name}).picked(), 0);
+    EXPECT_GT(held.lines.at({"read", line.name}).effective_weight(), 0);
 }
 
 // Two controllers that both believe to lead: the forwarder obeys the later one. Without its fence the auditor
@@ -343,11 +343,11 @@
       loop.run();
     };
     const auto older = make(), later = make();
-    older->lead(ProxyId{30000}, 5);
+    older->set_term(ProxyId{30000}, 5);
     run(0.05);
     older->deliver(ProxyId{30000}, table(1, {1, 0.5}));
     run(0.1);
-    later->lead(ProxyId{30000}, 6);
+    later->set_term(ProxyId{30000}, 6);
     run(0.05);
     later->deliver(ProxyId{30000}, table(2, {0.25, 1}));
     run(0.1);
@@ -414,7 +414,7 @@
   }
   std::string ask(const std::string& command) { return operators.handle(1, true, command); }
   coordinator::Rig rig{12};
-  Operators operators;
+  OperatorConsole operators;
 };
 
 TEST_F(Desk, ShowsWhatIs) {
@@ -502,7 +502,7 @@
   EXPECT_NE(operators.handle(5, false, "token a-secret-of-sixteeN").find("denied"), std::string::npos);
   EXPECT_EQ(operators.handle(5, false, "token a-secret-of-sixteen"), "");
   EXPECT_EQ(operators.handle(5, false, "show zones").find("denied"), std::string::npos);
-  operators.gone(5);
+  operators.disconnected(5);
   EXPECT_NE(operators.handle(5, false, "show zones").find("denied"), std::string::npos);
 }
 
@@ -528,7 +528,7 @@
   for (int moment = 0; moment < 8; ++moment) {
     play(1);
     ASSERT_TRUE(held);
-    const auto numbers = forwarders::whole_weights(held->operations[0].lines);
+    const auto numbers = forwarders::integer_weights(held->operations[0].lines);
     double sum = 0;
     for (const int n : numbers) sum += n;
     std::map<std::string, double> part;
