--- a/src/app/day.cpp
+++ b/src/app/day.cpp
@@ -203,9 +203,9 @@
 };
 
 void print_counts(const std::string& label, const ServiceCounts& measured, const ServiceCounts* baseline) {
-  std::string line =
-      fmt::format("  {:<16} {:>6} {:>8.3f} {:>6} {:>8} {:>8} {:>8}", label, measured.invocations,
-                  measured.service(), measured.late, measured.errored, measured.limited, measured.no_line);
+  std::string line = fmt::format("  {:<16} {:>6} {:>8.3f} {:>6} {:>8} {:>8} {:>8}", label,
+                                 measured.invocations, measured.service(), measured.late, measured.errored,
+                                 measured.rate_limited, measured.no_line);
   if (baseline != nullptr)
     line +=
         fmt::format("   {:>8.3f} {:>+8.3f}", baseline->service(), measured.service() - baseline->service());
@@ -219,11 +219,11 @@
                                     verdict.unit, verdict.detail)
                             .c_str());
   for (const auto& [interval, reaction] :
-       {std::pair{"a worker's crash to the first list without it", &audit.crash_to_answer},
-        {"a worker's crash to the last list with it", &audit.crash_to_last},
-        {"a forwarder's loss of its leader to the next", &audit.unled},
+       {std::pair{"a worker's crash to the first list without it", &audit.crash_to_first_removal},
+        {"a worker's crash to the last list with it", &audit.crash_to_last_listing},
+        {"a forwarder's loss of its leader to the next", &audit.leaderless_times},
         {"a table's leaving the channel to its application", &audit.in_force},
-        {"a drain to the last invocation sent there", &audit.drain_to_last}})
+        {"a drain to the last invocation sent there", &audit.drain_to_last_send}})
     if (!reaction->seconds.empty())
       std::printf("  from %-46s median %7.3f s, worst %7.3f s, of %zu\n", interval, reaction->median(),
                   reaction->worst(), reaction->seconds.size());
