--- a/tests/streams/policy_host_test.cpp
+++ b/tests/streams/policy_host_test.cpp
@@ -333,7 +333,8 @@
   std::multimap<double, std::uint64_t> alarms;
   double now = 0;
   const auto adapter = [&](const Json& items) {
-    const Json reply = Json::parse(adapter_host.process_batch(Json{{"sim-time-s", now}, {"items", items}}.dump()));
+    const Json reply =
+        Json::parse(adapter_host.process_batch(Json{{"sim-time-s", now}, {"items", items}}.dump()));
     for (const auto& order : reply["output"]) {
       if (order["t"] == "set-weight") {
         if (order["w"] > 0)
