--- a/src/app/record.cpp
+++ b/src/app/record.cpp
@@ -202,12 +202,12 @@
         variants.push_back(std::move(variant));
       }
     }
-    lab::SimulationSettings world;
-    world.seed = options.first_seed,
-    world.list_completions = !recording.invocations.empty() || !options.output_file.empty();
+    lab::SimulationSettings simulation;
+    simulation.seed = options.first_seed,
+    simulation.list_completions = !recording.invocations.empty() || !options.output_file.empty();
     std::string warning;
     if (!recording.invocations.empty()) {
-      const auto played = lab::run_variants(fitted.day, {variants.front()}, 1, 1, world, [](double) {});
+      const auto played = lab::run_variants(fitted.day, {variants.front()}, 1, 1, simulation, [](double) {});
       const auto calibration = lab::calibrate(recording, fitted.day, played[0].outcomes[0]);
       std::printf(
           "%s\n",
@@ -226,13 +226,13 @@
             calibration.service_error, calibration.zone_error);
       std::printf("  %s\n", warning.empty() ? "matched" : warning.c_str());
     }
-    world.list_completions = !options.output_file.empty();
+    simulation.list_completions = !options.output_file.empty();
     if (!options.window.empty()) {
       const auto played =
           lab::run_windows(fitted.day, variants,
                            {parse_duration("--window", options.window),
                             parse_duration("--warm", options.warmup), options.fraction, options.first_seed},
-                           options.jobs, world, progress);
+                           options.jobs, simulation, progress);
       std::printf("%s", lab::text_report(fitted.day, played).c_str());
       if (!warning.empty()) std::printf("  %s\n", warning.c_str());
       return std::any_of(played.variants.begin(), played.variants.end(),
@@ -240,7 +240,8 @@
                  ? kExitRuleViolated
                  : kExitSuccess;
     }
-    const auto played = lab::run_variants(fitted.day, variants, options.seeds, options.jobs, world, progress);
+    const auto played =
+        lab::run_variants(fitted.day, variants, options.seeds, options.jobs, simulation, progress);
     std::printf("%s", lab::text_report(fitted.day, played).c_str());
     if (!options.sweep.empty())
       for (std::size_t index = 1; index < played.size(); ++index)
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -45,16 +45,16 @@
 const Span kStopGracePeriod = Span::seconds(0.5);  // for TCP answers that are being written at shutdown
 
 dns::ResponderSettings responder_settings(const ServeSettings& settings) {
-  dns::ResponderSettings front;
-  front.origin = settings.dns.origin, front.hostmaster = settings.dns.hostmaster,
-  front.nameservers = settings.dns.nameservers;
-  front.address = settings.listen.address;
-  front.negative_ttl = static_cast<std::uint32_t>(settings.dns.negative_for.seconds());
-  front.udp_size = static_cast<std::uint16_t>(settings.dns.max_udp_size);
-  for (const auto& operation : settings.core.operations) front.operations.push_back(operation.name);
-  front.max_srv_records = static_cast<std::size_t>(settings.core.lines_most);
-  front.max_addresses = static_cast<std::size_t>(settings.core.addresses_most);
-  return front;
+  dns::ResponderSettings responder;
+  responder.origin = settings.dns.origin, responder.hostmaster = settings.dns.hostmaster,
+  responder.nameservers = settings.dns.nameservers;
+  responder.address = settings.listen.address;
+  responder.negative_ttl = static_cast<std::uint32_t>(settings.dns.negative_for.seconds());
+  responder.udp_size = static_cast<std::uint16_t>(settings.dns.max_udp_size);
+  for (const auto& operation : settings.core.operations) responder.operations.push_back(operation.name);
+  responder.max_srv_records = static_cast<std::size_t>(settings.core.lines_most);
+  responder.max_addresses = static_cast<std::size_t>(settings.core.addresses_most);
+  return responder;
 }
 
 runtime_api::DriverSettings driver_settings(const ServeSettings& settings) {
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -311,20 +311,20 @@
   s.roster_check_interval = roster.span("check_every", ms(200), ms(10), Span::seconds(60));
   roster.finish();
 
-  Section hears = root.block("hears");
-  s.health_path = hears.text("health_path", "/health");
-  s.health_every = hears.span("health_every", ms(250), ms(20), Span::seconds(60));
-  s.health_again = hears.span("health_again", ms(60), ms(5), Span::seconds(60));
-  s.health_timeout = hears.span("health_timeout", ms(800), ms(20), Span::seconds(60));
-  s.load_path = hears.text("load_path", "/load");
-  s.load_every = hears.span("load_every", s.core.report_every, ms(20), Span::seconds(60));
-  s.load_timeout = hears.span("load_timeout", ms(800), ms(20), Span::seconds(60));
-  s.core.late_after = hears.span("late_after", ms(500), ms(1), Span::seconds(60));
+  Section probes = root.block("hears");
+  s.health_path = probes.text("health_path", "/health");
+  s.health_every = probes.span("health_every", ms(250), ms(20), Span::seconds(60));
+  s.health_again = probes.span("health_again", ms(60), ms(5), Span::seconds(60));
+  s.health_timeout = probes.span("health_timeout", ms(800), ms(20), Span::seconds(60));
+  s.load_path = probes.text("load_path", "/load");
+  s.load_every = probes.span("load_every", s.core.report_every, ms(20), Span::seconds(60));
+  s.load_timeout = probes.span("load_timeout", ms(800), ms(20), Span::seconds(60));
+  s.core.late_after = probes.span("late_after", ms(500), ms(1), Span::seconds(60));
   for (const auto& [name, path] : {std::pair{"health_path", &s.health_path}, {"load_path", &s.load_path}})
     if (path->empty() || path->front() != '/' || path->find_first_of(" \r\n") != std::string::npos)
-      hears.fault(hears.place(name),
-                  fmt::format("'{}' is \"{}\"; expected a path that begins with '/'", name, *path));
-  hears.finish();
+      probes.fault(probes.place(name),
+                   fmt::format("'{}' is \"{}\"; expected a path that begins with '/'", name, *path));
+  probes.finish();
 
   read_runtime(root, s);
   read_cluster(root, s);
--- a/src/coordinator/coordinator.hpp
+++ b/src/coordinator/coordinator.hpp
@@ -207,7 +207,7 @@
   std::map<ProxyId, std::uint64_t> applied_versions_, delivered_versions_;
   // State of a backend restored from facts, kept until it is known which process now has its name.
   struct RememberedBackend {
-    std::optional<recovery::Fact> ladder, drain, cold;
+    std::optional<recovery::Fact> share_state, drain, cold;
   };
   std::map<std::string, RememberedBackend> remembered_;
   // Forwarders taken over from another controller. Retries beyond the first try stay disabled until `until`,
--- a/src/coordinator/state_transfer.cpp
+++ b/src/coordinator/state_transfer.cpp
@@ -27,13 +27,13 @@
 // Resolution of the time of a group's last lookup: a quarter of the shortest group_idle that settings allow.
 const Span kLastSeenResolution = Span::seconds(2.5);
 
-Fact fact_of_ladder(const PolicySnapshot::ShareState& rung, Instant now) {
+Fact fact_of_share_state(const PolicySnapshot::ShareState& share_state, Instant now) {
   Fact f;
-  f.figures = {{"share", rung.share},
-               {"falling", rung.reducing ? 1 : 0},
-               {"eased", rung.was_slow ? 1 : 0},
-               {"relapses", rung.failed_trials}};
-  f.times = {{"next", now + rung.next_step_in}, {"changed", now - rung.since_change}};
+  f.figures = {{"share", share_state.share},
+               {"falling", share_state.reducing ? 1 : 0},
+               {"eased", share_state.was_slow ? 1 : 0},
+               {"relapses", share_state.failed_trials}};
+  f.times = {{"next", now + share_state.next_step_in}, {"changed", now - share_state.since_change}};
   return f;
 }
 
@@ -47,16 +47,16 @@
 }
 
 // Returns nullopt if a figure is out of range.
-std::optional<PolicySnapshot::ShareState> ladder_of(const Fact& f, Instant now) {
-  PolicySnapshot::ShareState rung;
-  rung.share = figure(f, "share", -1), rung.reducing = figure(f, "falling", 0) > 0,
-  rung.was_slow = figure(f, "eased", 0) > 0;
+std::optional<PolicySnapshot::ShareState> share_state_of(const Fact& f, Instant now) {
+  PolicySnapshot::ShareState share_state;
+  share_state.share = figure(f, "share", -1), share_state.reducing = figure(f, "falling", 0) > 0,
+  share_state.was_slow = figure(f, "eased", 0) > 0;
   const double relapses = figure(f, "relapses", 0);
-  if (!(rung.share >= 0 && rung.share <= 1) || !(relapses >= 0 && relapses <= 1000)) return {};
-  rung.failed_trials = static_cast<int>(relapses);
-  rung.next_step_in = time_of(f, "next").value_or(now) - now,
-  rung.since_change = now - time_of(f, "changed").value_or(now);
-  return rung;
+  if (!(share_state.share >= 0 && share_state.share <= 1) || !(relapses >= 0 && relapses <= 1000)) return {};
+  share_state.failed_trials = static_cast<int>(relapses);
+  share_state.next_step_in = time_of(f, "next").value_or(now) - now,
+  share_state.since_change = now - time_of(f, "changed").value_or(now);
+  return share_state;
 }
 
 }  // namespace
@@ -74,16 +74,18 @@
   };
   if (decision_maker_.export_state) {
     const PolicySnapshot m = decision_maker_.export_state(now_);
-    for (const auto& [zone, rung] : m.zones)
+    for (const auto& [zone, share_state] : m.zones)
       if (zone.value < settings_.zones.size())
-        all[{FactKind::zone_ladder, settings_.zones[zone.value]}] = fact_of_ladder(rung, now_);
-    for (const auto& [key, rung] : m.links)
+        all[{FactKind::zone_ladder, settings_.zones[zone.value]}] = fact_of_share_state(share_state, now_);
+    for (const auto& [key, share_state] : m.links)
       if (key.first.value < settings_.zones.size() && key.second.value < settings_.zones.size())
-        all[{FactKind::link_ladder, settings_.zones[key.first.value] + ">" +
-                                        settings_.zones[key.second.value]}] = fact_of_ladder(rung, now_);
-    for (const auto& [id, rung] : m.backends)
+        all[{FactKind::link_ladder,
+             settings_.zones[key.first.value] + ">" + settings_.zones[key.second.value]}] =
+            fact_of_share_state(share_state, now_);
+    for (const auto& [id, share_state] : m.backends)
       if (backends_.contains(id))
-        all[{FactKind::backend_ladder, backend_name(id)}] = for_instance(id, fact_of_ladder(rung, now_));
+        all[{FactKind::backend_ladder, backend_name(id)}] =
+            for_instance(id, fact_of_share_state(share_state, now_));
     Fact carried;
     for (std::size_t k = 0; k < m.capacity_samples.size(); ++k)
       carried.figures[std::to_string(k)] = m.capacity_samples[k];
@@ -196,17 +198,18 @@
     switch (entry.subject.kind) {
       case FactKind::zone_ladder:
         if (const auto zone = find_zone(name))
-          if (const auto rung = ladder_of(f, now_)) memory.zones[*zone] = *rung;
+          if (const auto share_state = share_state_of(f, now_)) memory.zones[*zone] = *share_state;
         break;
       case FactKind::link_ladder: {
         const auto at = name.find('>');
         if (at == std::string::npos) break;
         const auto from = find_zone(name.substr(0, at)), to = find_zone(name.substr(at + 1));
-        if (const auto rung = ladder_of(f, now_); rung && from && to) memory.links[{*from, *to}] = *rung;
+        if (const auto share_state = share_state_of(f, now_); share_state && from && to)
+          memory.links[{*from, *to}] = *share_state;
         break;
       }
       case FactKind::backend_ladder:
-        remembered_[name].ladder = f;
+        remembered_[name].share_state = f;
         break;
       case FactKind::drain:
         remembered_[name].drain = f;
@@ -290,18 +293,19 @@
     const auto then = time_of(f, "started");
     return started && then && (*started - *then > kStartTolerance || *then - *started > kStartTolerance);
   };
-  for (auto* fact : {&remembered.ladder, &remembered.drain, &remembered.cold})
+  for (auto* fact : {&remembered.share_state, &remembered.drain, &remembered.cold})
     if (*fact && other_process(**fact)) fact->reset();
-  if (remembered.ladder) {
-    if (const auto rung = ladder_of(*remembered.ladder, now_)) memory.backends[id] = *rung;
-    remembered.ladder.reset();
+  if (remembered.share_state) {
+    if (const auto share_state = share_state_of(*remembered.share_state, now_))
+      memory.backends[id] = *share_state;
+    remembered.share_state.reset();
   }
   if (report_aggregator_.has_reported(id)) {
     // Its own reports apply from now on.
     remembered.cold.reset();
     if (remembered.drain && !report_aggregator_.draining(id)) remembered.drain.reset();
   }
-  if (!remembered.ladder && !remembered.drain && !remembered.cold) remembered_.erase(it);
+  if (!remembered.share_state && !remembered.drain && !remembered.cold) remembered_.erase(it);
 }
 
 // The lines a forwarder gets for a table. After a restart with restored state these are for a while the
--- a/src/coordinator/zone_spillover.cpp
+++ b/src/coordinator/zone_spillover.cpp
@@ -1,7 +1,7 @@
-// Spillover between zones: applies the zone shares that src/spill decides to the policy's tables, one variant
-// for each zone of proxies. The policy decides which backends get work, and their weights relative to the
-// others of a zone; spill decides how the work of a proxy zone is split between backend zones. Neither gives
-// a backend more than the other allows.
+// Spillover between zones: applies the zone shares that src/spillover decides to the policy's tables, one
+// variant for each zone of proxies. The policy decides which backends get work, and their weights relative to
+// the others of a zone; src/spillover decides how the work of a proxy zone is split between backend zones.
+// Neither gives a backend more than the other allows.
 #include <algorithm>
 
 #include "coordinator/coordinator.hpp"
@@ -86,8 +86,8 @@
     now[z].cpu_utilization = utilization[z].second > 0 ? utilization[z].first / utilization[z].second : 0;
   spillover::UnreachablePairs dead_links;
   if (decision_maker_.export_state)
-    for (const auto& [link, rung] : decision_maker_.export_state(now_).links)
-      if (rung.share < kDeadLinkShare) dead_links.emplace(link.first.value, link.second.value);
+    for (const auto& [link, share_state] : decision_maker_.export_state(now_).links)
+      if (share_state.share < kDeadLinkShare) dead_links.emplace(link.first.value, link.second.value);
   const auto d = spill_->decide(now_, now, classes, zone_latencies(reports), dead_links);
   if (d.tier_mismatch != tier_mismatch_) {
     for (std::size_t z = 0; z < d.tier_mismatch.size(); ++z)
--- a/src/lab/replay/fit.cpp
+++ b/src/lab/replay/fit.cpp
@@ -57,14 +57,15 @@
   std::map<std::string, BackendId> ids;
   std::uint32_t next_id = 1;
   std::map<std::int64_t, double> taken;  // by second
-  std::vector<script::InjectedFault> troubles;
+  std::vector<script::InjectedFault> injected_faults;
   std::optional<std::int64_t> first, last_t;
   std::size_t unreadable_steps = 0;
-  const auto add_trouble = [&](script::InjectedFaultKind kind, const Worker& w, Instant from, Instant to) {
+  const auto add_injected_fault = [&](script::InjectedFaultKind kind, const Worker& w, Instant from,
+                                      Instant to) {
     script::InjectedFault t;
     t.name = "recorded", t.kind = kind, t.zone = core.zones[w.zone], t.count = 1;
     t.at = from - Instant{} - Span::micros(*first), t.lasts = to - from;
-    troubles.push_back(t);
+    injected_faults.push_back(t);
   };
   for (const auto& step : r.steps) {
     if (!first) first = step.t;
@@ -110,10 +111,10 @@
         if (health->health == coordinator::Health::refused && !w.down) w.down = now;
         if (health->health == coordinator::Health::failed && !w.hung && !w.down) w.hung = now;
         if (health->health == coordinator::Health::passed) {
-          if (w.down) add_trouble(script::InjectedFaultKind::crash, w, *w.down, now);
+          if (w.down) add_injected_fault(script::InjectedFaultKind::crash, w, *w.down, now);
           // A single lost health check doesn't count as a hang; failures for over 1 s do.
           if (w.hung && now - *w.hung > Span::seconds(1))
-            add_trouble(script::InjectedFaultKind::hang, w, *w.hung, now);
+            add_injected_fault(script::InjectedFaultKind::hang, w, *w.hung, now);
           w.down.reset(), w.hung.reset();
         }
       }
@@ -123,9 +124,9 @@
     throw std::runtime_error{"the recording has neither a script of the day nor inputs from workers"};
   const Instant end = Instant{} + Span::micros(*last_t);
   for (auto& [id, w] : workers) {
-    if (w.down) add_trouble(script::InjectedFaultKind::crash, w, *w.down, end);
+    if (w.down) add_injected_fault(script::InjectedFaultKind::crash, w, *w.down, end);
     if (w.hung && end - *w.hung > Span::seconds(1)) {
-      add_trouble(script::InjectedFaultKind::hang, w, *w.hung, end);
+      add_injected_fault(script::InjectedFaultKind::hang, w, *w.hung, end);
       f.assumptions.push_back(
           w.name + " accepted invocations and answered none; the usual work of the operation is assumed");
     }
@@ -193,7 +194,7 @@
                         Span::seconds(static_cast<double>(t - *first / 1'000'000)),
                         n / 5 / std::max(1e-9, mean_rate)});
   }
-  d.troubles = std::move(troubles);
+  d.troubles = std::move(injected_faults);
   d.coordinators = {settings.zone_name};
   d.drain_grace = core.drain_grace, d.unserved = core.unserved, d.cold_for = core.cold_for,
   d.tip_after = Span::seconds(2);
--- a/src/lab/replay/windows.cpp
+++ b/src/lab/replay/windows.cpp
@@ -16,7 +16,8 @@
 
 namespace {
 
-// The longest hold of a ladder and its climb (docs/store.md). Later, a trouble has no more effect.
+// A reduced share is held for at most 80 s and recovers within 120 s (docs/store.md). Later, a fault has no
+// more effect.
 const Span kAfterEffects = Span::seconds(80 + 120);
 // A single window gives no estimate of the variance within its stratum.
 constexpr std::size_t kMinWindowsPerStratum = 2;
--- a/src/recovery/fact_confidence.cpp
+++ b/src/recovery/fact_confidence.cpp
@@ -15,10 +15,10 @@
 
 }  // namespace
 
-// Reasons for the half-lives: a ladder is held for at most 80 s and recovers within 120 s, so it is restored
-// or nearly so after two minutes. Capacity changes with releases and hardware, within a working day; rates
-// follow a weekly pattern. A drain or an operator's command holds until revoked or expired, but not beyond
-// one shift and the next without being seen.
+// Reasons for the half-lives: a reduced share (zone_ladder, backend_ladder, link_ladder) is held for at most
+// 80 s and recovers within 120 s, so it is full again or nearly so after two minutes. Capacity changes with
+// releases and hardware, within a working day; rates follow a weekly pattern. A drain or an operator's
+// command holds until revoked or expired, but not beyond one shift and the next without being seen.
 Span half_life(FactKind kind) {
   switch (kind) {
     case FactKind::zone_ladder:
--- a/src/recovery/fact_confidence.hpp
+++ b/src/recovery/fact_confidence.hpp
@@ -17,10 +17,11 @@
 
 struct TrustedFacts {
   std::vector<Entry> applicable, hints;
-  bool too_many_excluded = false;  // backend ladders were downgraded to hints: see select_trusted()
+  bool too_many_excluded = false;  // backend_ladder facts were downgraded to hints: see select_trusted()
 };
 // Sorts facts that were last confirmed at `confirmed_at`. If they exclude more than two fifths of the
-// backends they are more likely wrong than right, as in the policy module; no backend ladder is applied then.
+// backends they are more likely wrong than right, as in the policy module; no backend_ladder fact (the
+// reduced share of a backend) is applied then.
 [[nodiscard]] TrustedFacts select_trusted(const std::vector<Entry>& entries, Instant confirmed_at,
                                           Instant now);
 
@@ -28,8 +29,8 @@
 // rest is used only when a new leader takes over.
 [[nodiscard]] bool applies_immediately(FactKind kind);
 
-// Merges the entries of several controllers for a new leader: the latest entry of each subject, and for
-// ladders the one with the lowest share.
+// Merges the entries of several controllers for a new leader: the latest entry of each subject, and for the
+// reduced shares of zones, backends and links the one with the lowest share.
 [[nodiscard]] std::vector<Entry> merge(std::vector<std::vector<Entry>> sources);
 
 }  // namespace gorsemount::recovery
--- a/src/streams/policy_host.cpp
+++ b/src/streams/policy_host.cpp
@@ -210,18 +210,18 @@
   const auto append = [](std::string& text, const std::string& what) {
     text += (text.empty() ? "" : " ") + what;
   };
-  const auto share = [](const PolicySnapshot::ShareState& rung) {
-    return ":" + std::to_string(static_cast<int>(std::lround(100 * rung.share))) +
-           (rung.failed_trials > 0 ? "r" + std::to_string(rung.failed_trials) : "");
+  const auto share = [](const PolicySnapshot::ShareState& share_state) {
+    return ":" + std::to_string(static_cast<int>(std::lround(100 * share_state.share))) +
+           (share_state.failed_trials > 0 ? "r" + std::to_string(share_state.failed_trials) : "");
   };
   const auto name = [this](ZoneId zone) { return names_.zones.at(zone.value); };
   const PolicySnapshot memory = policy_.snapshot(now_);
-  for (const auto& [zone, rung] : memory.zones) append(stats.reduced, name(zone) + share(rung));
-  for (const auto& [link, rung] : memory.links)
-    append(stats.reduced, name(link.first) + ">" + name(link.second) + share(rung));
-  for (const auto& [id, rung] : memory.backends)
+  for (const auto& [zone, share_state] : memory.zones) append(stats.reduced, name(zone) + share(share_state));
+  for (const auto& [link, share_state] : memory.links)
+    append(stats.reduced, name(link.first) + ">" + name(link.second) + share(share_state));
+  for (const auto& [id, share_state] : memory.backends)
     if (const auto it = backends_.find(id); it != backends_.end())
-      append(stats.reduced, it->second.name + share(rung));
+      append(stats.reduced, it->second.name + share(share_state));
   for (const auto& [id, counts] : std::exchange(error_counts_, {}))
     if (const auto it = backends_.find(id); it != backends_.end())
       append(stats.failing,
