--- a/models/takeover.pml
+++ b/models/takeover.pml
@@ -16,12 +16,12 @@
 #endif
 #define NONE 255
 
-byte seen[N];                 /* Leases::highest_ */
+byte seen[N];                 /* Leases::highest_terms_ */
 byte word_to[N], word_term[N];/* Leases::promises_ */
-bool silent[N];               /* Leases::silent_until_, after a restart without stored state */
-bool leads[N];                /* Leases::leads() by its own clock */
+bool silent[N];               /* Leases::no_votes_before_, after a restart without stored state */
+bool leads[N];                /* Leases::held_term() by its own clock */
 byte term[N];
-byte votes[N], asked[N];      /* Leases::asking_: votes granted so far, and their term */
+byte votes[N], asked[N];      /* Leases::vote_rounds_: votes granted so far, and their term */
 bool voted[N * N];
 byte leading;                 /* number of current leaders */
 byte owner[TERMS + 1];        /* winner of each term */
@@ -29,7 +29,7 @@
 byte fence;                   /* highest term that the forwarder has seen */
 byte last;                    /* term of the last accepted command */
 byte holder_term, part;       /* partial change held by the forwarder: its term, and 0: none or complete, 1: half applied */
-bool learned[N];              /* Driver::Stream: has read the forwarder's state in its current term */
+bool learned[N];              /* Driver::Connection: has read the forwarder's state in its current term */
 chan wire[N] = [1] of { byte, byte };  /* term, part; commands written and not yet read */
 
 inline give_word(voter, cand, under) {
@@ -53,7 +53,7 @@
 proctype Controller(byte c) {
   byte v, i;
   do
-  /* Leases::ask: starts a new term with a vote for itself. */
+  /* Leases::start_vote_round: starts a new term with a vote for itself. */
   :: atomic { (!leads[c] && asked[c] == 0 && !silent[c] && seen[c] < TERMS && (word_to[c] == NONE || word_to[c] == c)) ->
        asked[c] = seen[c] + 1; give_word(c, c, asked[c]) }
   /* A vote request reaches a voter and the vote returns; a lost message is a step that is never taken. */
@@ -62,7 +62,7 @@
        if :: (v != c && !voted[c * N + v]) -> give_word(v, c, asked[c]) :: else -> skip fi; v = 0 }
   /* It abandons its candidacy in this term. */
   :: atomic { asked[c] != 0 -> forget_asking(c) }
-  /* Leases::won */
+  /* Leases::acquire */
   :: atomic { (asked[c] != 0 && votes[c] * 2 > N && !leads[c]) ->
        leads[c] = true; leading++; term[c] = asked[c]; learned[c] = false;
        assert(owner[term[c]] == NONE || owner[term[c]] == c);   /* at most one winner a term */
@@ -71,7 +71,7 @@
        forget_asking(c) }
   /* The lease expires by its own clock, or is handed over. */
   :: atomic { leads[c] -> leads[c] = false; leading--; term[c] = 0; learned[c] = false }
-  /* Driver::Stream::state: reads the forwarder's state in its term, which raises the fence. */
+  /* Driver::Connection::on_servers_state: reads the forwarder's state in its term, which raises the fence. */
   :: atomic { (leads[c] && !learned[c]) ->
 #ifndef NO_RESUME
        if :: term[c] > fence -> fence = term[c] :: else -> skip fi;
@@ -79,7 +79,7 @@
        if :: part == 1 -> holder_term = term[c] :: else -> skip fi;
 #endif
        learned[c] = true }
-  /* Driver::Stream::advance: writes the two halves of a change while it leads. */
+  /* Driver::Connection::advance: writes the two halves of a change while it leads. */
   :: atomic { (leads[c] && learned[c] && nfull(wire[c])) ->
        if :: wire[c]!term[c], 1 :: wire[c]!term[c], 2 fi }
   /* It restarts without stored state and doesn't vote until all earlier promises have expired. Commands that it wrote may
--- a/src/lab/replay/windows.hpp
+++ b/src/lab/replay/windows.hpp
@@ -26,9 +26,9 @@
   bool operator==(const Window&) const = default;
 };
 // The windows to simulate, in order of time. Adjacent eventful windows are merged, so that the after-effects
-// of a trouble are simulated too.
+// of a fault are simulated too.
 [[nodiscard]] std::vector<Window> plan_windows(const script::Day& day, const WindowPlan& plan);
-// A day for one window: `warm` before it, the window, and time for its last invocations to end. Troubles that
+// A day for one window: `warm` before it, the window, and time for its last invocations to end. Faults that
 // began earlier and still last begin at its start.
 [[nodiscard]] script::Day window_day(const script::Day& day, const Window& window, Span warm);
 // The day with numbers of workers, clients and forwarders and line limits divided by `times`, at the same
